--- a/packages/bench/apricothook/bench/apricothook_bench_core.cpp
+++ b/packages/bench/apricothook/bench/apricothook_bench_core.cpp
@@ -18,7 +18,7 @@
 {
     const MemberUpdate self = benchUpdate(scale, 0);
     Settings settings;
-    settings.id = self.life.member;
+    settings.id = self.instance.member;
     settings.vm = VmId("entry-vm");
     settings.dataCentre = self.dataCentre;
     settings.region = self.region;
@@ -32,7 +32,7 @@
 BenchCore::BenchCore(const BenchScale &scale) : m_scale(scale)
 {
     const CoreIdentity identity {
-        settingsOf(scale), benchUpdate(scale, 0).life.incarnation, {{1, "0123456789abcdef"}}};
+        settingsOf(scale), benchUpdate(scale, 0).instance.incarnation, {{1, "0123456789abcdef"}}};
     m_core = std::make_unique<Core>(
         identity, CorePortsSet {*this, *this, *this, *this, *this, m_random}, m_now);
     applyConfiguration(benchConfiguration(scale));
@@ -129,7 +129,8 @@
 {
     const std::size_t number = std::stoul(from.text().substr(from.text().size() - 4));
     const MemberUpdate member = benchUpdate(m_scale, number);
-    m_core->handle(PeerArrived {member.life, member.peerAddress, std::move(message)}, m_now);
+    m_core->handle(PeerMessageReceived {member.instance, member.peerAddress, std::move(message)},
+                   m_now);
 }
 
 void BenchCore::reply(const Letter &letter)
--- a/packages/bench/apricothook/bench/apricothook_bench_fakes.hpp
+++ b/packages/bench/apricothook/bench/apricothook_bench_fakes.hpp
@@ -41,18 +41,18 @@
     {
         for (std::size_t i = 0; i < scale.daemons; ++i)
             m_live.push_back(benchUpdate(scale, i));
-        m_self = m_live.front().life;
+        m_self = m_live.front().instance;
     }
-    void setSelf(const MemberId &member) { m_self = find(member)->life; }
+    void setSelf(const MemberId &member) { m_self = find(member)->instance; }
 
-    const MemberLife &self() const override { return m_self; }
+    const MemberInstance &self() const override { return m_self; }
     const std::vector<MemberUpdate> &live() const override { return m_live; }
     std::optional<MemberUpdate> find(const MemberId &member) const override
     {
         const auto place = std::lower_bound(
             m_live.begin(), m_live.end(), member,
-            [](const MemberUpdate &a, const MemberId &b) { return a.life.member < b; });
-        if (place == m_live.end() || place->life.member != member)
+            [](const MemberUpdate &a, const MemberId &b) { return a.instance.member < b; });
+        if (place == m_live.end() || place->instance.member != member)
             return std::nullopt;
         return *place;
     }
@@ -60,7 +60,7 @@
     double visibleShare() const override { return 1; }
 
 private:
-    MemberLife m_self;
+    MemberInstance m_self;
     std::vector<MemberUpdate> m_live;
 };
 
--- a/packages/bench/apricothook/bench/apricothook_bench_fleet.cpp
+++ b/packages/bench/apricothook/bench/apricothook_bench_fleet.cpp
@@ -87,7 +87,7 @@
 MemberUpdate benchUpdate(const BenchScale &scale, std::size_t number)
 {
     MemberUpdate update;
-    update.life = {MemberId(benchMember(number)), Incarnation(1'700'000'000'000 + number)};
+    update.instance = {MemberId(benchMember(number)), Incarnation(1'700'000'000'000 + number)};
     update.peerAddress
         = {"10.2." + std::to_string(number / 250) + "." + std::to_string(number % 250), 7000};
     update.callerAddress = {update.peerAddress.address, 8080};
--- a/packages/bench/apricothook/bench/apricothook_core_cases.cpp
+++ b/packages/bench/apricothook/bench/apricothook_core_cases.cpp
@@ -131,7 +131,7 @@
             prepare();
             operate();
         }
-        m_metrics->rankCustomers(BenchStart);
+        m_metrics->updateTopCustomers(BenchStart);
         m_bytes = static_cast<double>(allocationsNow().liveBytes - before);
     }
     void prepare() override
@@ -144,8 +144,8 @@
     {
         m_metrics->requestEnded(m_labels, RequestResult::Answered, milliseconds(900));
         m_metrics->queueWait(m_labels, milliseconds(3));
-        m_metrics->firstToken(m_labels, milliseconds(200));
-        m_metrics->betweenTokens(m_labels, milliseconds(20));
+        m_metrics->timeToFirstToken(m_labels, milliseconds(200));
+        m_metrics->interTokenLatency(m_labels, milliseconds(20));
         m_metrics->prefill(m_labels.tier, PrefillUse::Computed, 400);
     }
     std::vector<BenchFigure> figures() const override { return {{"stateBytes", m_bytes}}; }
--- a/packages/bench/apricothook/bench/apricothook_home_cases.cpp
+++ b/packages/bench/apricothook/bench/apricothook_home_cases.cpp
@@ -40,7 +40,7 @@
         m_out.clear();
         ++m_next;
         m_request.attempt
-            = {m_members.live()[m_next % m_members.live().size()].life, ExchangeId(m_next), 1};
+            = {m_members.live()[m_next % m_members.live().size()].instance, ExchangeId(m_next), 1};
         m_request.key = m_issuer.mint(BenchStart, m_random);
         m_request.customer = CustomerId(benchCustomer(m_next % 2500));
         m_request.fingerprint = Fingerprint(m_next);
--- a/packages/bench/apricothook/bench/apricothook_member_cases.cpp
+++ b/packages/bench/apricothook/bench/apricothook_member_cases.cpp
@@ -22,7 +22,7 @@
     explicit GossipSubject(const BenchScale &scale)
         : m_scale(scale)
         , m_membership(benchUpdate(scale, 0), m_random, m_events)
-        , m_sealer(benchUpdate(scale, 0).life, PeerKeys {{1, "0123456789abcdef"}})
+        , m_sealer(benchUpdate(scale, 0).instance, PeerKeys {{1, "0123456789abcdef"}})
     {
         const std::int64_t before = allocationsNow().liveBytes;
         m_membership.start({}, m_now, m_mail);
@@ -30,7 +30,7 @@
         for (std::size_t i = 0; i < scale.daemons; ++i)
             list.members.push_back(benchUpdate(scale, i));
         const MemberUpdate teller = benchUpdate(scale, 1);
-        m_membership.handle(teller.life, teller.peerAddress, list, m_now, m_mail);
+        m_membership.handle(teller.instance, teller.peerAddress, list, m_now, m_mail);
         m_mail.clear();
         m_mail.shrink_to_fit();
         list.members = {};
@@ -56,7 +56,7 @@
             answer();
         }
         const MemberUpdate prober = benchUpdate(m_scale, 1 + m_rounds % (m_scale.daemons - 1));
-        m_membership.handle(prober.life, prober.peerAddress,
+        m_membership.handle(prober.instance, prober.peerAddress,
                             Probe {m_rounds, m_membership.self().member, {}, {prober}}, m_now,
                             m_mail);
         answer();
@@ -81,7 +81,7 @@
             const auto *probe = std::get_if<Probe>(&letter.message);
             const auto member = probe ? m_membership.find(probe->subject) : std::nullopt;
             if (member)
-                m_membership.handle(member->life, member->peerAddress,
+                m_membership.handle(member->instance, member->peerAddress,
                                     ProbeReply {probe->sequence, probe->subject, {}, {*member}},
                                     m_now, m_mail);
         }
--- a/packages/bench/apricothook/bench/apricothook_steward_cases.cpp
+++ b/packages/bench/apricothook/bench/apricothook_steward_cases.cpp
@@ -38,8 +38,8 @@
     ReserveRequest request(std::uint8_t tier)
     {
         ReserveRequest request;
-        request.attempt
-            = {m_members.live()[m_next % m_members.live().size()].life, ExchangeId(++m_next), 1};
+        request.attempt = {m_members.live()[m_next % m_members.live().size()].instance,
+                           ExchangeId(++m_next), 1};
         request.shard = m_shard;
         request.tier = Tier(tier);
         request.customer = CustomerId(benchCustomer(m_next % 97));
@@ -71,7 +71,7 @@
     std::vector<ReserveReply> reserved() const
     {
         std::vector<ReserveReply> replies;
-        for (const Outgoing &outgoing : m_out) {
+        for (const OutgoingMessage &outgoing : m_out) {
             const auto *reply = std::get_if<ReserveReply>(&outgoing.message);
             if (reply && reply->verdict == ReserveVerdict::Reserved)
                 replies.push_back(*reply);
@@ -215,7 +215,7 @@
     {
         m_steward->tick(m_now, m_out);
         ++m_ticks;
-        for (const Outgoing &outgoing : m_out)
+        for (const OutgoingMessage &outgoing : m_out)
             m_raises += std::holds_alternative<FloorRaise>(outgoing.message);
     }
     std::vector<BenchFigure> figures() const override
--- a/packages/caller/apricothook/caller/apricothook_caller_server.hpp
+++ b/packages/caller/apricothook/caller/apricothook_caller_server.hpp
@@ -3,7 +3,7 @@
 #include <apricothook/caller/apricothook_caller_limits.hpp>
 #include <apricothook/model/apricothook_decision_event.hpp>
 #include <apricothook/model/apricothook_endpoint.hpp>
-#include <apricothook/model/apricothook_failure.hpp>
+#include <apricothook/model/apricothook_result.hpp>
 #include <apricothook/model/apricothook_time.hpp>
 #include <apricothook/ports/apricothook_core_inbox.hpp>
 
--- a/packages/caller/apricothook/caller/internal/apricothook_connection_watch.hpp
+++ b/packages/caller/apricothook/caller/internal/apricothook_connection_watch.hpp
@@ -3,7 +3,7 @@
 #include <apricothook/caller/apricothook_caller_limits.hpp>
 #include <apricothook/caller/internal/apricothook_connection_pause.hpp>
 #include <apricothook/caller/internal/apricothook_unique_descriptor.hpp>
-#include <apricothook/model/apricothook_failure.hpp>
+#include <apricothook/model/apricothook_result.hpp>
 #include <apricothook/model/apricothook_time.hpp>
 
 #include <atomic>
--- a/packages/caller/apricothook/caller/internal/apricothook_exchange_service.cpp
+++ b/packages/caller/apricothook/caller/internal/apricothook_exchange_service.cpp
@@ -203,7 +203,7 @@
 bool ExchangeService::giveToCore(Exchange &exchange)
 {
     if (std::holds_alternative<EntriesRoute>(exchange.route))
-        return m_inbox.tryGive(EntriesLookup {exchange.answer});
+        return m_inbox.tryPost(EntriesLookup {exchange.answer});
     if (std::holds_alternative<OperatorRoute>(exchange.route)) {
         QueuedOperatorCall call {std::string(exchange.body->bytes()), exchange.answer};
         exchange.body->drop();
@@ -211,11 +211,11 @@
     }
     exchange.isGiven = true;
     if (const KeyRoute *route = std::get_if<KeyRoute>(&exchange.route))
-        exchange.isGiven = m_inbox.tryGive(
+        exchange.isGiven = m_inbox.tryPost(
             KeyLookup {exchange.id, exchange.headers.tokenHash, route->key, exchange.answer});
     else
         exchange.isGiven
-            = m_inbox.tryGive(requestOf(exchange, std::get<ServiceRoute>(exchange.route)));
+            = m_inbox.tryPost(requestOf(exchange, std::get<ServiceRoute>(exchange.route)));
     return exchange.isGiven;
 }
 
@@ -254,7 +254,7 @@
     if (!exchange.isGiven)
         return;
     record(CallerEvent::CallerHungUp, "exchange=" + std::to_string(exchange.id.value()));
-    m_inbox.give(CallerGone {exchange.id});
+    m_inbox.post(CallerGone {exchange.id});
 }
 
 void ExchangeService::setLimits(const CallerLimits &limits)
--- a/packages/caller/apricothook/caller/internal/apricothook_operator_service.cpp
+++ b/packages/caller/apricothook/caller/internal/apricothook_operator_service.cpp
@@ -73,7 +73,7 @@
     {
         const auto answer = std::make_shared<std::promise<std::string>>();
         std::future<std::string> document = answer->get_future();
-        if (!m_inbox.tryGive(OperatorAsked {question, key, answer}))
+        if (!m_inbox.tryPost(OperatorAsked {question, key, answer}))
             throw jsonrpc::JsonRpcException(CoreBusyCode, "the core is behind");
         if (document.wait_for(CorePatience) != std::future_status::ready)
             throw jsonrpc::JsonRpcException(CoreBusyCode, "the core didn't answer in time");
@@ -120,7 +120,7 @@
 
 bool OperatorService::tryCall(QueuedOperatorCall call)
 {
-    return m_calls.tryPut(std::move(call));
+    return m_calls.tryPush(std::move(call));
 }
 
 void OperatorService::run()
@@ -128,7 +128,7 @@
     StreamConnector connector;
     OperatorMethods methods(connector, m_inbox);
     while (!m_isStopping) {
-        const std::optional<QueuedOperatorCall> call = m_calls.take(RingPatience);
+        const std::optional<QueuedOperatorCall> call = m_calls.pop(RingPatience);
         if (!call)
             continue;
         connector.OnRequest(call->body, call->answer.get());
--- a/packages/caller/apricothook/caller/internal/apricothook_operator_service.hpp
+++ b/packages/caller/apricothook/caller/internal/apricothook_operator_service.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <apricothook/ports/apricothook_answer_stream.hpp>
-#include <apricothook/ports/apricothook_bounded_ring.hpp>
+#include <apricothook/ports/apricothook_bounded_queue.hpp>
 #include <apricothook/ports/apricothook_core_inbox.hpp>
 
 #include <atomic>
@@ -38,7 +38,7 @@
     void run();
 
     CoreInbox &m_inbox;
-    BoundedRing<QueuedOperatorCall> m_calls;
+    BoundedQueue<QueuedOperatorCall> m_calls;
     std::atomic<bool> m_isStopping = false;
     std::thread m_thread;
 };
--- a/packages/caller/apricothook/caller/internal/apricothook_request_body.hpp
+++ b/packages/caller/apricothook/caller/internal/apricothook_request_body.hpp
@@ -1,8 +1,8 @@
 #pragma once
 
 #include <apricothook/caller/internal/apricothook_body_budget.hpp>
-#include <apricothook/model/apricothook_failure.hpp>
 #include <apricothook/model/apricothook_refusal.hpp>
+#include <apricothook/model/apricothook_result.hpp>
 
 #include <memory>
 #include <string>
--- a/packages/caller/apricothook/caller/internal/apricothook_request_headers.hpp
+++ b/packages/caller/apricothook/caller/internal/apricothook_request_headers.hpp
@@ -1,8 +1,8 @@
 #pragma once
 
-#include <apricothook/model/apricothook_failure.hpp>
 #include <apricothook/model/apricothook_identifiers.hpp>
 #include <apricothook/model/apricothook_refusal.hpp>
+#include <apricothook/model/apricothook_result.hpp>
 #include <apricothook/model/apricothook_time.hpp>
 #include <apricothook/ports/apricothook_answer_stream.hpp>
 
--- a/packages/caller/benchmarks/apricothook_streams_benchmark.cpp
+++ b/packages/caller/benchmarks/apricothook_streams_benchmark.cpp
@@ -57,7 +57,7 @@
 class KeepingInbox : public CoreInbox
 {
 public:
-    bool tryGive(CoreEvent event) override
+    bool tryPost(CoreEvent event) override
     {
         if (auto *request = std::get_if<CallerRequest>(&event)) {
             const std::lock_guard lock(m_mutex);
@@ -66,7 +66,7 @@
         }
         return true;
     }
-    void give(CoreEvent event) override { tryGive(std::move(event)); }
+    void post(CoreEvent event) override { tryPost(std::move(event)); }
     std::vector<std::shared_ptr<AnswerStream>> waitFor(std::size_t count)
     {
         std::unique_lock lock(m_mutex);
--- a/packages/caller/tests/apricothook_fake_inbox.hpp
+++ b/packages/caller/tests/apricothook_fake_inbox.hpp
@@ -15,15 +15,15 @@
 class FakeInbox : public CoreInbox
 {
 public:
-    bool tryGive(CoreEvent event) override
+    bool tryPost(CoreEvent event) override
     {
         if (isFull)
             return false;
-        give(std::move(event));
+        post(std::move(event));
         return true;
     }
 
-    void give(CoreEvent event) override
+    void post(CoreEvent event) override
     {
         if (answerer && answerer(event))
             return;
--- a/packages/caller/tests/apricothook_server_fixture.hpp
+++ b/packages/caller/tests/apricothook_server_fixture.hpp
@@ -1,8 +1,8 @@
 #pragma once
 
 #include <apricothook/caller/apricothook_caller_server.hpp>
-#include <apricothook/testsupport/apricothook_hand_clock.hpp>
-#include <apricothook/testsupport/apricothook_numbered_events.hpp>
+#include <apricothook/testsupport/apricothook_manual_clock.hpp>
+#include <apricothook/testsupport/apricothook_recording_event_sink.hpp>
 
 #include "apricothook_fake_inbox.hpp"
 #include "apricothook_raw_caller.hpp"
@@ -27,8 +27,8 @@
         port = bound ? bound.value() : 0;
     }
 
-    HandClock clock;
-    NumberedEvents sink;
+    ManualClock clock;
+    RecordingEventSink sink;
     FakeInbox inbox;
     CallerServer server;
     std::uint16_t port = 0;
--- a/packages/cli/apricothook/cli/apricothook_entry_client.hpp
+++ b/packages/cli/apricothook/cli/apricothook_entry_client.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <apricothook/cli/apricothook_entry_failure.hpp>
-#include <apricothook/model/apricothook_failure.hpp>
+#include <apricothook/model/apricothook_result.hpp>
 
 #include <json/value.h>
 
--- a/packages/configservice/apricothook/configservice/apricothook_peer_rpc_client.hpp
+++ b/packages/configservice/apricothook/configservice/apricothook_peer_rpc_client.hpp
@@ -4,7 +4,7 @@
 #include <apricothook/configservice/apricothook_rpc_seal.hpp>
 #include <apricothook/configservice/apricothook_text_shelf.hpp>
 #include <apricothook/model/apricothook_endpoint.hpp>
-#include <apricothook/model/apricothook_failure.hpp>
+#include <apricothook/model/apricothook_result.hpp>
 #include <apricothook/model/apricothook_time.hpp>
 #include <apricothook/ports/apricothook_answer_stream.hpp>
 
--- a/packages/configservice/apricothook/configservice/internal/apricothook_answer_fetcher.cpp
+++ b/packages/configservice/apricothook/configservice/internal/apricothook_answer_fetcher.cpp
@@ -24,7 +24,7 @@
     if (put({peer, key, exchange}))
         m_duty.wake();
     else
-        m_surroundings.core.give(KeptAnswerArrived {exchange, nullptr});
+        m_surroundings.core.post(KeptAnswerArrived {exchange, nullptr});
 }
 
 bool AnswerFetcher::put(Wanted wanted)
@@ -52,7 +52,7 @@
     if (!wanted)
         return UntilWoken;
     auto answer = m_client.fetchAnswer(wanted->peer, wanted->key, Patience);
-    m_surroundings.core.give(
+    m_surroundings.core.post(
         KeptAnswerArrived {wanted->exchange, answer ? std::move(answer.value()) : nullptr});
     return Duration::zero();
 }
--- a/packages/configservice/apricothook/configservice/internal/apricothook_text_delivery.cpp
+++ b/packages/configservice/apricothook/configservice/internal/apricothook_text_delivery.cpp
@@ -14,12 +14,12 @@
     auto checked = checker.check(text);
     if (!checked) {
         const TextFault &fault = checked.error();
-        core.give(ConfigurationRejected {generation, textHash, fault.errors, fault.firstError});
+        core.post(ConfigurationRejected {generation, textHash, fault.errors, fault.firstError});
         return;
     }
     auto configuration = std::make_shared<const Configuration>(
         Configuration {generation, textHash, std::move(checked.value())});
-    core.give(ConfigurationArrived {std::move(configuration),
+    core.post(ConfigurationArrived {std::move(configuration),
                                     std::make_shared<const std::string>(std::move(text))});
 }
 
--- a/packages/configservice/apricothook/configservice/internal/apricothook_text_watch.cpp
+++ b/packages/configservice/apricothook/configservice/internal/apricothook_text_watch.cpp
@@ -75,7 +75,7 @@
         return UntilWoken;
     const Instant start = m_surroundings.clock.now();
     const Reading reading = read(wish);
-    m_surroundings.core.tryGive(PlatformReachability {reading != Reading::Failed});
+    m_surroundings.core.tryPost(PlatformReachability {reading != Reading::Failed});
     if (!wish.isWatching)
         return UntilWoken;
     // A platform that answers at once without news, or with old news, would be read at full rate.
--- a/packages/configservice/tests/apricothook_platform_client_tests.cpp
+++ b/packages/configservice/tests/apricothook_platform_client_tests.cpp
@@ -17,12 +17,12 @@
     {
         client.start();
     }
-    GatheringInbox core;
+    RecordingInbox core;
     FakeChecker checker;
     RpcSeal seal {testKeys()};
     TextShelf shelf;
     RealClock clock;
-    NumberedEvents events;
+    RecordingEventSink events;
     PlatformCounters counters;
     PlatformClient client;
 };
@@ -156,7 +156,7 @@
 
 TEST_CASE("A member's question for a kept answer doesn't wait for a core that never answers")
 {
-    GatheringInbox core;
+    RecordingInbox core;
     CoreAnswerSource source(core);
     CHECK(source.keptAnswer(RequestKey("k")) == nullptr);
     CHECK(core.all<KeptAnswerAsked>().size() == 1);
--- a/packages/configservice/tests/apricothook_platform_fakes.hpp
+++ b/packages/configservice/tests/apricothook_platform_fakes.hpp
@@ -6,8 +6,8 @@
 #include <apricothook/configservice/apricothook_platform_event.hpp>
 #include <apricothook/model/apricothook_decision_event.hpp>
 #include <apricothook/model/apricothook_hashing.hpp>
-#include <apricothook/testsupport/apricothook_gathering_inbox.hpp>
-#include <apricothook/testsupport/apricothook_numbered_events.hpp>
+#include <apricothook/testsupport/apricothook_recording_event_sink.hpp>
+#include <apricothook/testsupport/apricothook_recording_inbox.hpp>
 
 #include <arpa/inet.h>
 #include <microhttpd.h>
@@ -189,7 +189,7 @@
     TextShelf shelf;
     FakeAnswers answers;
     RealClock clock;
-    NumberedEvents events;
+    RecordingEventSink events;
     PlatformCounters counters;
     std::optional<PeerRpcServer> server;
     bool isListening = false;
--- a/packages/configuration/apricothook/configuration/apricothook_configuration_keeper.cpp
+++ b/packages/configuration/apricothook/configuration/apricothook_configuration_keeper.cpp
@@ -145,7 +145,7 @@
 void ConfigurationKeeper::digestSeen(const MemberUpdate &from, const StateDigest &digest,
                                      Instant now, ConfigurationOutput &out)
 {
-    const MemberId &member = from.life.member;
+    const MemberId &member = from.instance.member;
     if (member == m_surroundings.members.self().member)
         return;
     if (const auto request = m_vms.requestFor(digest.vmRevision))
@@ -171,7 +171,7 @@
     digestSeen(from, reply.digest, now, out);
     if (isReady())
         return;
-    m_barrier.peerAnswered(from.life.member, reply.digest.generation.value() != 0);
+    m_barrier.peerAnswered(from.instance.member, reply.digest.generation.value() != 0);
     settle(now, out);
 }
 
--- a/packages/configuration/apricothook/configuration/apricothook_member_sample.cpp
+++ b/packages/configuration/apricothook/configuration/apricothook_member_sample.cpp
@@ -21,8 +21,8 @@
 {
     std::vector<MemberId> members;
     for (const MemberUpdate &member : view.live()) {
-        if (member.life.member != view.self().member && fits(member, own, nearness))
-            members.push_back(member.life.member);
+        if (member.instance.member != view.self().member && fits(member, own, nearness))
+            members.push_back(member.instance.member);
     }
     const std::size_t wanted = std::min(count, members.size());
     for (std::size_t i = 0; i < wanted; ++i)
--- a/packages/configuration/apricothook/configuration/apricothook_watcher_choice.cpp
+++ b/packages/configuration/apricothook/configuration/apricothook_watcher_choice.cpp
@@ -15,7 +15,8 @@
     for (const MemberUpdate &member : view.live()) {
         if (member.dataCentre != dataCentre || member.state == MemberState::Leaving)
             continue;
-        weighted.emplace_back(rendezvousWeight(key, member.life.member.text()), member.life.member);
+        weighted.emplace_back(rendezvousWeight(key, member.instance.member.text()),
+                              member.instance.member);
     }
     std::sort(weighted.rbegin(), weighted.rend());
     std::vector<MemberId> watchers;
--- a/packages/configuration/tests/apricothook_configuration_keeper_tests.cpp
+++ b/packages/configuration/tests/apricothook_configuration_keeper_tests.cpp
@@ -158,9 +158,9 @@
     daemon.keeper->vmListRequested(MemberId("b"), {8}, daemon.out);
     daemon.keeper->vmListRequested(MemberId("c"), {9}, daemon.out);
     REQUIRE(daemon.out.outbox.size() == 1);
-    CHECK(daemon.out.outbox[0] == Outgoing {MemberId("b"), newer});
+    CHECK(daemon.out.outbox[0] == OutgoingMessage {MemberId("b"), newer});
     daemon.keeper->digestSeen(daemon.member("d"), {Generation(), 0, 10}, at(1), daemon.out);
-    CHECK(daemon.out.outbox.back() == Outgoing {MemberId("d"), VmListRequest {9}});
+    CHECK(daemon.out.outbox.back() == OutgoingMessage {MemberId("d"), VmListRequest {9}});
 }
 
 TEST_CASE("Whatever arrives in whatever order, the generation in force never falls")
--- a/packages/configuration/tests/apricothook_engine_orders_tests.cpp
+++ b/packages/configuration/tests/apricothook_engine_orders_tests.cpp
@@ -95,7 +95,7 @@
 
     TestMembers members {"a"};
     TestEvents events;
-    RepeatableRandom random {1};
+    DeterministicRandom random {1};
     TestContext context;
     Outbox outbox;
     EngineOrders orders;
--- a/packages/configuration/tests/apricothook_spread_tests.cpp
+++ b/packages/configuration/tests/apricothook_spread_tests.cpp
@@ -21,7 +21,7 @@
     Node(const std::string &name, std::uint64_t seed) : members(name), random(seed) { }
     TestMembers members;
     TestEvents events;
-    RepeatableRandom random;
+    DeterministicRandom random;
     ConfigurationOutput out;
     std::optional<ConfigurationKeeper> keeper;
     int adoptedHop = -1;
@@ -162,7 +162,7 @@
         node.adoptedHop = hop;
         m_lastHop = std::max(m_lastHop, hop);
         ++m_adopted;
-        for (const Outgoing &outgoing : node.out.outbox) {
+        for (const OutgoingMessage &outgoing : node.out.outbox) {
             ++node.notices;
             const std::size_t to = std::stoul(outgoing.to.text().substr(1)) - 1000;
             m_notices.push_back({index, to, node.keeper->digest(), hop + 1});
@@ -185,7 +185,7 @@
     std::vector<std::unique_ptr<Node>> m_nodes;
     std::set<std::size_t> m_dead;
     std::deque<Notice> m_notices;
-    RepeatableRandom m_random;
+    DeterministicRandom m_random;
     std::size_t m_adopted = 0;
     int m_lastHop = 0;
     double m_shareByNotice = 0;
--- a/packages/configuration/tests/apricothook_test_fleet.hpp
+++ b/packages/configuration/tests/apricothook_test_fleet.hpp
@@ -2,7 +2,7 @@
 
 #include <apricothook/configuration/apricothook_configuration_keeper.hpp>
 #include <apricothook/model/apricothook_hashing.hpp>
-#include <apricothook/testsupport/apricothook_repeatable_random.hpp>
+#include <apricothook/testsupport/apricothook_deterministic_random.hpp>
 
 #include <algorithm>
 #include <map>
@@ -31,12 +31,12 @@
 {
 public:
     explicit TestMembers(std::string self) : m_self {MemberId(std::move(self)), Incarnation(1)} { }
-    const MemberLife &self() const override { return m_self; }
+    const MemberInstance &self() const override { return m_self; }
     const std::vector<MemberUpdate> &live() const override { return members; }
     std::optional<MemberUpdate> find(const MemberId &member) const override
     {
         for (const MemberUpdate &update : members) {
-            if (update.life.member == member)
+            if (update.instance.member == member)
                 return update;
         }
         return std::nullopt;
@@ -46,7 +46,7 @@
     void add(const std::string &name, const std::string &dataCentre = "dc0")
     {
         MemberUpdate update;
-        update.life = {MemberId(name), Incarnation(1)};
+        update.instance = {MemberId(name), Incarnation(1)};
         update.peerAddress = {"10.0.0.1", static_cast<std::uint16_t>(members.size() + 1)};
         update.dataCentre = DataCentreId(dataCentre);
         members.push_back(update);
@@ -55,7 +55,7 @@
     void remove(const std::string &name)
     {
         std::erase_if(members, [&name](const MemberUpdate &update) {
-            return update.life.member.text() == name;
+            return update.instance.member.text() == name;
         });
         ++number;
     }
@@ -65,7 +65,7 @@
     double share = 1;
 
 private:
-    MemberLife m_self;
+    MemberInstance m_self;
 };
 
 inline ConfigurationArrived textOf(std::uint64_t generation, std::uint64_t hash = 0)
@@ -125,7 +125,7 @@
 
     TestMembers members {"a"};
     TestEvents events;
-    RepeatableRandom random;
+    DeterministicRandom random;
     ConfigurationOutput out;
     std::optional<ConfigurationKeeper> keeper;
 };
--- a/packages/core/apricothook/core/internal/apricothook_core_parts.cpp
+++ b/packages/core/apricothook/core/internal/apricothook_core_parts.cpp
@@ -8,7 +8,7 @@
 {
     const Settings &settings = identity.settings;
     MemberUpdate self;
-    self.life = {settings.id, identity.incarnation};
+    self.instance = {settings.id, identity.incarnation};
     self.peerAddress = settings.peerAddress;
     self.callerAddress = settings.callerAddress;
     self.dataCentre = settings.dataCentre;
--- a/packages/core/apricothook/core/internal/apricothook_core_turn.cpp
+++ b/packages/core/apricothook/core/internal/apricothook_core_turn.cpp
@@ -153,7 +153,7 @@
         configuration.actions.clear();
         for (const ConfigurationAction &action : actions)
             m_applier.perform(action, now, m_results.outbox);
-        for (Outgoing &outgoing : outbox)
+        for (OutgoingMessage &outgoing : outbox)
             deliver(outgoing, now);
         noticeMembers(now);
     }
@@ -168,15 +168,15 @@
     }
 }
 
-void CoreTurn::deliver(Outgoing &outgoing, Instant now)
+void CoreTurn::deliver(OutgoingMessage &outgoing, Instant now)
 {
-    const MemberLife &self = m_parts.members.self();
+    const MemberInstance &self = m_parts.members.self();
     if (outgoing.to != self.member) {
         send(outgoing.to, outgoing.message);
         return;
     }
-    const PeerArrived loop {self, m_parts.identity.settings.peerAddress,
-                            std::move(outgoing.message)};
+    const PeerMessageReceived loop {self, m_parts.identity.settings.peerAddress,
+                                    std::move(outgoing.message)};
     m_dispatcher.dispatch(loop, now, m_results);
 }
 
--- a/packages/core/apricothook/core/internal/apricothook_core_turn.hpp
+++ b/packages/core/apricothook/core/internal/apricothook_core_turn.hpp
@@ -36,7 +36,7 @@
     void take(const EngineOrderEnded &ended, Instant now);
     void take(const LoadReport &report, Instant now);
     void take(const CacheEvents &events, Instant now);
-    void take(const PeerArrived &arrived, Instant now);
+    void take(const PeerMessageReceived &arrived, Instant now);
     void take(const ConfigurationArrived &arrived, Instant now);
     void take(const ConfigurationRejected &rejected, Instant now);
     void take(const VmsArrived &arrived, Instant now);
@@ -55,7 +55,7 @@
     void noticeMembers(Instant now);
     /** Performs and delivers all that the turn brought about, until nothing is left. */
     void settle(Instant now);
-    void deliver(Outgoing &outgoing, Instant now);
+    void deliver(OutgoingMessage &outgoing, Instant now);
     void send(const MemberId &to, const PeerMessage &message);
     void record(DaemonEvent event, std::string details);
 
--- a/packages/core/apricothook/core/internal/apricothook_core_turn_events.cpp
+++ b/packages/core/apricothook/core/internal/apricothook_core_turn_events.cpp
@@ -67,7 +67,7 @@
     m_parts.steward.cacheEvents(events, now);
 }
 
-void CoreTurn::take(const PeerArrived &arrived, Instant now)
+void CoreTurn::take(const PeerMessageReceived &arrived, Instant now)
 {
     if (m_strangers.size() < MaximumStrangers || m_strangers.contains(arrived.from.member))
         m_strangers[arrived.from.member] = arrived.address;
--- a/packages/core/apricothook/core/internal/apricothook_entry_gate.cpp
+++ b/packages/core/apricothook/core/internal/apricothook_entry_gate.cpp
@@ -22,7 +22,7 @@
 
 std::vector<TargetId> EntryGate::excludedFor(Fingerprint fingerprint, Instant)
 {
-    return m_suspects.excludedFor(fingerprint);
+    return m_suspects.excludedTargets(fingerprint);
 }
 
 void EntryGate::runStarted(Fingerprint fingerprint, const TargetId &target, Instant)
@@ -39,10 +39,10 @@
         TargetCrash crash {target, {}};
         for (const auto &[running, count] : runs.running)
             crash.running.push_back(running);
-        m_suspects.noteCrash(crash, now, out);
+        m_suspects.recordCrash(crash, now, out);
     }
     if (end == RunEnd::Answered)
-        m_suspects.noteAnswered(fingerprint, now);
+        m_suspects.recordAnswer(fingerprint, now);
     const auto found = runs.running.find(fingerprint);
     if (found != runs.running.end() && --found->second == 0)
         runs.running.erase(found);
--- a/packages/core/apricothook/core/internal/apricothook_entry_homes.cpp
+++ b/packages/core/apricothook/core/internal/apricothook_entry_homes.cpp
@@ -22,11 +22,11 @@
     const HomeChoice &homes = choice.value();
     if (!homes.requiredLife)
         return homes.homes;
-    const MemberLife life {homes.homes.front(), *homes.requiredLife};
+    const MemberInstance life {homes.homes.front(), *homes.requiredLife};
     const std::optional<MemberUpdate> member = m_members.find(life.member);
     // A newer life is proof that the ticket's is gone. A member that isn't seen may be cut off and
     // alive: it is asked, and the request waits for it within its patience.
-    if (member && member->life.incarnation > life.incarnation)
+    if (member && member->instance.incarnation > life.incarnation)
         return KeyProblem::HomeGone;
     return homes.homes;
 }
--- a/packages/core/apricothook/core/internal/apricothook_operator_documents.cpp
+++ b/packages/core/apricothook/core/internal/apricothook_operator_documents.cpp
@@ -48,14 +48,14 @@
     Json::Value members(Json::arrayValue);
     for (const MemberUpdate &update : parts.members.live()) {
         Json::Value member;
-        member["id"] = update.life.member.text();
+        member["id"] = update.instance.member.text();
         member["state"] = nameOf(update.state);
-        member["incarnation"] = Json::UInt64(update.life.incarnation.value());
+        member["incarnation"] = Json::UInt64(update.instance.incarnation.value());
         member["dataCentre"] = update.dataCentre.text();
         member["address"] = update.callerAddress.text();
-        const bool isSelf = update.life == parts.members.self();
+        const bool isSelf = update.instance == parts.members.self();
         const std::optional<StateDigest> digest
-            = isSelf ? parts.keeper.digest() : parts.members.digestOf(update.life.member);
+            = isSelf ? parts.keeper.digest() : parts.members.digestOf(update.instance.member);
         if (digest)
             member["generation"] = Json::UInt64(digest->generation.value());
         members.append(member);
--- a/packages/core/apricothook/core/internal/apricothook_peer_dispatcher.cpp
+++ b/packages/core/apricothook/core/internal/apricothook_peer_dispatcher.cpp
@@ -16,7 +16,7 @@
 
 } // namespace
 
-void PeerDispatcher::dispatch(const PeerArrived &arrived, Instant now, Results &results)
+void PeerDispatcher::dispatch(const PeerMessageReceived &arrived, Instant now, Results &results)
 {
     const MemberId &from = arrived.from.member;
     Outbox &out = results.outbox;
@@ -84,18 +84,18 @@
                arrived.message);
 }
 
-MemberUpdate PeerDispatcher::senderOf(const PeerArrived &arrived) const
+MemberUpdate PeerDispatcher::senderOf(const PeerMessageReceived &arrived) const
 {
     if (const std::optional<MemberUpdate> known = m_parts.members.find(arrived.from.member))
         return *known;
     MemberUpdate sender;
-    sender.life = arrived.from;
+    sender.instance = arrived.from;
     sender.peerAddress = arrived.address;
     return sender;
 }
 
-void PeerDispatcher::digestSeen(const PeerArrived &arrived, const StateDigest &digest, Instant now,
-                                Results &results)
+void PeerDispatcher::digestSeen(const PeerMessageReceived &arrived, const StateDigest &digest,
+                                Instant now, Results &results)
 {
     m_parts.homeMap.noteGeneration(arrived.from.member, digest.generation, now);
     m_parts.keeper.digestSeen(senderOf(arrived), digest, now, results.configuration);
--- a/packages/core/apricothook/core/internal/apricothook_peer_dispatcher.hpp
+++ b/packages/core/apricothook/core/internal/apricothook_peer_dispatcher.hpp
@@ -20,11 +20,11 @@
         Mail mail;
         ConfigurationOutput configuration;
     };
-    void dispatch(const PeerArrived &arrived, Instant now, Results &results);
+    void dispatch(const PeerMessageReceived &arrived, Instant now, Results &results);
 
 private:
-    MemberUpdate senderOf(const PeerArrived &arrived) const;
-    void digestSeen(const PeerArrived &arrived, const StateDigest &digest, Instant now,
+    MemberUpdate senderOf(const PeerMessageReceived &arrived) const;
+    void digestSeen(const PeerMessageReceived &arrived, const StateDigest &digest, Instant now,
                     Results &results);
 
     CoreParts &m_parts;
--- a/packages/core/tests/apricothook_fault_bench.cpp
+++ b/packages/core/tests/apricothook_fault_bench.cpp
@@ -25,9 +25,9 @@
 /** The live daemons as all of them see each other once views have settled. */
 struct SettledView : MemberView
 {
-    MemberLife none;
+    MemberInstance none;
     std::vector<MemberUpdate> members;
-    const MemberLife &self() const override { return none; }
+    const MemberInstance &self() const override { return none; }
     const std::vector<MemberUpdate> &live() const override { return members; }
     std::optional<MemberUpdate> find(const MemberId &) const override { return std::nullopt; }
     std::uint64_t version() const override { return 1; }
@@ -190,7 +190,7 @@
     SettledView view;
     for (const MemberId &id : members) {
         MemberUpdate member;
-        member.life = {id, Incarnation(1)};
+        member.instance = {id, Incarnation(1)};
         member.dataCentre = DataCentreId("dc");
         member.region = RegionId("r");
         view.members.push_back(member);
@@ -305,7 +305,7 @@
 {
     const std::optional<std::size_t> to = daemonAt(mail.to);
     if (to && isLinked(mail.source, *to))
-        give(*to, PeerArrived {mail.from, m_daemons[mail.source].address, mail.message});
+        give(*to, PeerMessageReceived {mail.from, m_daemons[mail.source].address, mail.message});
 }
 
 void FaultBench::give(std::size_t daemon, CoreEvent event)
--- a/packages/core/tests/apricothook_fault_bench.hpp
+++ b/packages/core/tests/apricothook_fault_bench.hpp
@@ -167,7 +167,7 @@
     };
     struct Mail
     {
-        MemberLife from;
+        MemberInstance from;
         std::size_t source = 0;
         Endpoint to;
         PeerMessage message;
--- a/packages/daemon/apricothook/daemon/apricothook_core_thread.cpp
+++ b/packages/daemon/apricothook/daemon/apricothook_core_thread.cpp
@@ -18,14 +18,14 @@
     stop();
 }
 
-bool CoreThread::tryGive(CoreEvent event)
+bool CoreThread::tryPost(CoreEvent event)
 {
-    return m_ring.tryPut(std::move(event));
+    return m_ring.tryPush(std::move(event));
 }
 
-void CoreThread::give(CoreEvent event)
+void CoreThread::post(CoreEvent event)
 {
-    if (m_ring.tryPutOrKeep(event))
+    if (m_ring.tryPushOrKeep(event))
         return;
     // A full ring means that the thread is awake; it looks here in every turn.
     const std::lock_guard lock(m_overflowMutex);
@@ -60,10 +60,10 @@
     if (m_core->nextDue() <= now)
         m_core->tick(now);
     const Duration patience = std::max(Duration::zero(), m_core->nextDue() - now);
-    std::optional<CoreEvent> event = m_ring.take(patience);
+    std::optional<CoreEvent> event = m_ring.pop(patience);
     for (int handled = 0; event && handled < EventsPerTurn; ++handled) {
         handle(std::move(*event));
-        event = m_ring.tryTake();
+        event = m_ring.tryPop();
     }
     if (event)
         handle(std::move(*event));
--- a/packages/daemon/apricothook/daemon/apricothook_core_thread.hpp
+++ b/packages/daemon/apricothook/daemon/apricothook_core_thread.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <apricothook/ports/apricothook_bounded_ring.hpp>
+#include <apricothook/ports/apricothook_bounded_queue.hpp>
 #include <apricothook/ports/apricothook_core_inbox.hpp>
 
 #include <ace/Task.h>
@@ -26,8 +26,8 @@
     explicit CoreThread(const Clock &clock);
     ~CoreThread() override;
 
-    bool tryGive(CoreEvent event) override;
-    void give(CoreEvent event) override;
+    bool tryPost(CoreEvent event) override;
+    void post(CoreEvent event) override;
 
     /** `afterTurn` is called in the core's thread, after events were handled. */
     void start(Core &core, std::function<void()> afterTurn);
@@ -42,7 +42,7 @@
     void handle(CoreEvent event);
 
     const Clock &m_clock;
-    BoundedRing<CoreEvent> m_ring;
+    BoundedQueue<CoreEvent> m_ring;
     std::mutex m_overflowMutex;
     std::deque<CoreEvent> m_overflow;
     Core *m_core = nullptr;
--- a/packages/daemon/apricothook/daemon/apricothook_daemon_process.cpp
+++ b/packages/daemon/apricothook/daemon/apricothook_daemon_process.cpp
@@ -53,7 +53,7 @@
     ~Threads() { stop(); }
 
     Result<void, DaemonFailure> start();
-    void requestStop() { m_coreThread.give(StopRequested()); }
+    void requestStop() { m_coreThread.post(StopRequested()); }
     bool isDone() const { return m_isDone; }
     bool isAlive() const { return m_clock.now() - Instant(Duration(m_lastTurn)) < LongestTurn; }
     bool isReady() const { return m_isReady; }
@@ -111,7 +111,7 @@
 {
     // Every process of a member has a larger incarnation than those before: the wall clock moves on
     // by more than a restart takes. One that is behind finds out from the others and leaves.
-    const MemberLife self {m_settings.id, Incarnation(m_clock.wallMilliseconds())};
+    const MemberInstance self {m_settings.id, Incarnation(m_clock.wallMilliseconds())};
     auto peers = PeerTransport::open(self, m_settings.peerListenAddress, m_keys, m_coreThread);
     if (!peers || !m_rpc.start())
         return DaemonFailure::PeerAddressInUse;
--- a/packages/daemon/apricothook/daemon/apricothook_daemon_process.hpp
+++ b/packages/daemon/apricothook/daemon/apricothook_daemon_process.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <apricothook/daemon/apricothook_daemon_failure.hpp>
-#include <apricothook/model/apricothook_failure.hpp>
+#include <apricothook/model/apricothook_result.hpp>
 #include <apricothook/model/apricothook_settings.hpp>
 #include <apricothook/peers/apricothook_peer_keys.hpp>
 
--- a/packages/daemon/apricothook/daemon/apricothook_metrics_observer.cpp
+++ b/packages/daemon/apricothook/daemon/apricothook_metrics_observer.cpp
@@ -28,9 +28,9 @@
     if (summary.queued > Duration::zero())
         m_metrics.queueWait(labels, summary.queued);
     if (summary.firstToken > Duration::zero())
-        m_metrics.firstToken(labels, summary.firstToken);
+        m_metrics.timeToFirstToken(labels, summary.firstToken);
     if (summary.betweenTokens > Duration::zero())
-        m_metrics.betweenTokens(labels, summary.betweenTokens);
+        m_metrics.interTokenLatency(labels, summary.betweenTokens);
     m_metrics.prefill(summary.tier, PrefillUse::Cached, summary.cachedTokens);
     m_metrics.prefill(summary.tier, PrefillUse::Wasted, summary.wastedPrefillTokens);
     const bool isAnswered = !summary.refusal && !summary.isAbandoned;
--- a/packages/daemon/programs/apricothookd.cpp
+++ b/packages/daemon/programs/apricothookd.cpp
@@ -52,9 +52,10 @@
             return;
         m_due = now + MetricsPeriod;
         const DaemonGauges gauges = m_daemon.gauges();
-        m_metrics.set(Level::Generation, static_cast<double>(gauges.generation));
-        m_metrics.set(Level::CallerExchanges, static_cast<double>(gauges.exchanges));
-        m_metrics.set(Level::CallerConnections, static_cast<double>(gauges.callerConnections));
+        m_metrics.set(MetricGauge::Generation, static_cast<double>(gauges.generation));
+        m_metrics.set(MetricGauge::CallerExchanges, static_cast<double>(gauges.exchanges));
+        m_metrics.set(MetricGauge::CallerConnections,
+                      static_cast<double>(gauges.callerConnections));
         m_metrics.setRing("core", gauges.coreRing);
         const std::uint64_t rpcHalf = gauges.rpcBytes / 2;
         m_metrics.controlBytes(Direction::Sent, gauges.peerBytesSent + rpcHalf - m_sent);
@@ -62,7 +63,7 @@
                                gauges.peerBytesReceived + rpcHalf - m_received);
         m_sent = gauges.peerBytesSent + rpcHalf;
         m_received = gauges.peerBytesReceived + rpcHalf;
-        m_metrics.rankCustomers(now);
+        m_metrics.updateTopCustomers(now);
     }
 
 private:
--- a/packages/daemon/tests/apricothook_daemon_site.hpp
+++ b/packages/daemon/tests/apricothook_daemon_site.hpp
@@ -6,7 +6,7 @@
 #include <apricothook/requests/apricothook_request_observer.hpp>
 #include <apricothook/testing/apricothook_engine_stand_in.hpp>
 #include <apricothook/testing/apricothook_platform_stand_in.hpp>
-#include <apricothook/testsupport/apricothook_numbered_events.hpp>
+#include <apricothook/testsupport/apricothook_recording_event_sink.hpp>
 
 #include "apricothook_stand_in_client.hpp"
 
@@ -35,7 +35,7 @@
     PlatformStandIn platform;
     EngineStandIn engine;
     Settings settings;
-    NumberedEvents events;
+    RecordingEventSink events;
     UnheardObserver observer;
     DaemonProcess daemon;
 
--- a/packages/dispatch/apricothook/dispatch/apricothook_cold_guard.cpp
+++ b/packages/dispatch/apricothook/dispatch/apricothook_cold_target_limiter.cpp
@@ -1,4 +1,4 @@
-#include <apricothook/dispatch/apricothook_cold_guard.hpp>
+#include <apricothook/dispatch/apricothook_cold_target_limiter.hpp>
 
 #include <apricothook/model/apricothook_hashing.hpp>
 
@@ -23,12 +23,12 @@
     return "main";
 }
 
-ColdGuard::ColdGuard(std::uint64_t self, const FleetBounds &bounds)
+ColdTargetLimiter::ColdTargetLimiter(std::uint64_t self, const FleetBounds &bounds)
     : m_self(self), m_bounds(bounds), m_fleet {{self}, ColdView::Main}
 {
 }
 
-void ColdGuard::setServices(const std::vector<ServiceRule> &services)
+void ColdTargetLimiter::setServices(const std::vector<ServiceRule> &services)
 {
     m_rules.clear();
     for (const ServiceRule &service : services) {
@@ -41,7 +41,7 @@
     }
 }
 
-bool ColdGuard::setFleet(ColdFleet fleet)
+bool ColdTargetLimiter::setFleet(ColdTargetSenders fleet)
 {
     if (fleet == m_fleet)
         return false;
@@ -49,7 +49,7 @@
     return true;
 }
 
-std::uint32_t ColdGuard::before(std::uint64_t target) const
+std::uint32_t ColdTargetLimiter::before(std::uint64_t target) const
 {
     const auto weight = [target](std::uint64_t member) {
         return std::pair(rendezvousWeight(target, member), member);
@@ -58,8 +58,8 @@
         m_fleet.members, [&](std::uint64_t member) { return weight(member) > weight(m_self); }));
 }
 
-std::uint32_t ColdGuard::mostInSecond(const ServiceId &service, std::uint64_t target,
-                                      bool isCold) const
+std::uint32_t ColdTargetLimiter::mostInSecond(const ServiceId &service, std::uint64_t target,
+                                              bool isCold) const
 {
     const Rule *rule = ruleOf(service);
     if (!rule || (!isCold && !doubtsAll()))
@@ -76,19 +76,19 @@
     return before(target) == 0 ? rule->mostInSecond : 0;
 }
 
-const ColdGuard::Rule *ColdGuard::ruleOf(const ServiceId &service) const
+const ColdTargetLimiter::Rule *ColdTargetLimiter::ruleOf(const ServiceId &service) const
 {
     const auto found = m_rules.find(service);
     return found == m_rules.end() ? nullptr : &found->second;
 }
 
-Duration ColdGuard::coldTime(const ServiceId &service) const
+Duration ColdTargetLimiter::coldTime(const ServiceId &service) const
 {
     const Rule *rule = ruleOf(service);
     return rule ? rule->coldTime : Duration::zero();
 }
 
-bool ColdGuard::isBounded(const ServiceId &service) const
+bool ColdTargetLimiter::isBounded(const ServiceId &service) const
 {
     return ruleOf(service) != nullptr;
 }
--- a/packages/dispatch/apricothook/dispatch/apricothook_cold_guard.hpp
+++ b/packages/dispatch/apricothook/dispatch/apricothook_cold_target_limiter.hpp
@@ -21,16 +21,16 @@
 std::string_view nameOf(ColdView view);
 
 /** The fleet as far as it matters who sends to cold targets. */
-struct ColdFleet
+struct ColdTargetSenders
 {
     /**
-     * memberNumber() of every daemon that may be serving, heard of lately or not, this one among
+     * memberHash() of every daemon that may be serving, heard of lately or not, this one among
      * them. One that is silent keeps its targets: whoever took them over could send beside it.
      */
     std::vector<std::uint64_t> members;
     ColdView view = ColdView::Alone;
 
-    auto operator<=>(const ColdFleet &) const = default;
+    auto operator<=>(const ColdTargetSenders &) const = default;
 };
 
 /**
@@ -52,19 +52,19 @@
  * would have it sends one request a second to those targets for which it is among the first so
  * many.
  */
-class ColdGuard
+class ColdTargetLimiter
 {
 public:
     static constexpr std::uint32_t Unlimited = std::numeric_limits<std::uint32_t>::max();
 
-    /** `self`: memberNumber() of this daemon, which is alone until setFleet(). */
-    explicit ColdGuard(std::uint64_t self = 0, const FleetBounds &bounds = {});
+    /** `self`: memberHash() of this daemon, which is alone until setFleet(). */
+    explicit ColdTargetLimiter(std::uint64_t self = 0, const FleetBounds &bounds = {});
 
     void setServices(const std::vector<ServiceRule> &services);
     /** False when nothing has changed. */
-    bool setFleet(ColdFleet fleet);
+    bool setFleet(ColdTargetSenders fleet);
 
-    /** Requests that this daemon may send to the target, `targetNumber()`, in any one second. */
+    /** Requests that this daemon may send to the target, `targetHash()`, in any one second. */
     std::uint32_t mostInSecond(const ServiceId &service, std::uint64_t target, bool isCold) const;
     /** A target of the service that may have become cold may still be so after this. */
     Duration coldTime(const ServiceId &service) const;
@@ -90,7 +90,7 @@
 
     const std::uint64_t m_self;
     const FleetBounds m_bounds;
-    ColdFleet m_fleet;
+    ColdTargetSenders m_fleet;
     /** Of services whose cold targets are bounded. */
     std::map<ServiceId, Rule> m_rules;
 };
--- a/packages/dispatch/apricothook/dispatch/apricothook_customer_budget.cpp
+++ b/packages/dispatch/apricothook/dispatch/apricothook_customer_budget.cpp
@@ -34,7 +34,7 @@
     };
 }
 
-std::uint64_t customerNumber(const CustomerId &customer)
+std::uint64_t customerHash(const CustomerId &customer)
 {
     return hashOf(customer.text());
 }
--- a/packages/dispatch/apricothook/dispatch/apricothook_customer_budget.hpp
+++ b/packages/dispatch/apricothook/dispatch/apricothook_customer_budget.hpp
@@ -31,16 +31,16 @@
 CustomerBudget budgetOf(const CustomerRule &customer, const FleetBounds &bounds);
 
 /** A short name of a customer for messages between daemons. */
-std::uint64_t customerNumber(const CustomerId &customer);
+std::uint64_t customerHash(const CustomerId &customer);
 
 /** What a request asks of its customer's limit. */
-struct LimitClaim
+struct UnitDemand
 {
     double units = 0;
     /** Part of the bucket that it must leave to others, 0 to 1. */
-    double partLeft = 0;
+    double reservedFraction = 0;
 
-    auto operator<=>(const LimitClaim &) const = default;
+    auto operator<=>(const UnitDemand &) const = default;
 };
 
 } // namespace Apricothook
--- a/packages/dispatch/apricothook/dispatch/apricothook_fleet_limits.cpp
+++ b/packages/dispatch/apricothook/dispatch/apricothook_customer_rate_limiter.cpp
@@ -1,4 +1,4 @@
-#include <apricothook/dispatch/apricothook_fleet_limits.hpp>
+#include <apricothook/dispatch/apricothook_customer_rate_limiter.hpp>
 
 #include <algorithm>
 #include <utility>
@@ -37,9 +37,9 @@
     return "nobody";
 }
 
-FleetLimits::FleetLimits(const FleetBounds &bounds, LimitPeer self, LimitMessenger &messenger,
-                         LimitListener &listener, GrantorListener &grantorListener,
-                         RandomSource &random)
+CustomerRateLimiter::CustomerRateLimiter(const FleetBounds &bounds, LimitPeer self,
+                                         LimitMessenger &messenger, LimitListener &listener,
+                                         GrantorListener &grantorListener, RandomSource &random)
     : m_bounds(bounds)
     , m_self(self)
     , m_messenger(messenger)
@@ -50,13 +50,13 @@
 {
 }
 
-void FleetLimits::setCustomers(const std::vector<CustomerRule> &customers, Instant now)
+void CustomerRateLimiter::setCustomers(const std::vector<CustomerRule> &customers, Instant now)
 {
     m_grantor.setCustomers(customers, m_bounds, now);
     m_grantor.review(m_isComplete, now);
 }
 
-void FleetLimits::setFleet(const KnownFleet &fleet, Instant now)
+void CustomerRateLimiter::setFleet(const FleetMembership &fleet, Instant now)
 {
     m_known = fleet.known;
     m_isComplete = fleet.isComplete;
@@ -64,12 +64,13 @@
     m_grantor.review(m_isComplete, now);
 }
 
-std::optional<LimitVerdict> FleetLimits::take(ExchangeId exchange, const CustomerRule &customer,
-                                              const LimitClaim &claim, Instant now)
+std::optional<LimitDecision> CustomerRateLimiter::take(ExchangeId exchange,
+                                                       const CustomerRule &customer,
+                                                       const UnitDemand &claim, Instant now)
 {
     Waiting waiting;
     waiting.exchange = exchange;
-    waiting.customer = customerNumber(customer.name);
+    waiting.customer = customerHash(customer.name);
     waiting.budget = budgetOf(customer, m_bounds);
     waiting.claim = claim;
     waiting.since = now;
@@ -86,7 +87,7 @@
         return decideHere(waiting, now);
     // A daemon that has just started knows nobody to ask, and can't tell how long it will last.
     if (!m_isComplete && !chooseGrantor(waiting, now)) {
-        LimitVerdict refused = verdict(waiting, LimitSource::Nobody, false, now);
+        LimitDecision refused = verdict(waiting, LimitSource::Nobody, false, now);
         refused.retryAfter = NobodyRetryAfter;
         return refused;
     }
@@ -95,18 +96,18 @@
     return std::nullopt;
 }
 
-LimitVerdict FleetLimits::decideHere(Waiting &waiting, Instant now)
+LimitDecision CustomerRateLimiter::decideHere(Waiting &waiting, Instant now)
 {
     waiting.asked = m_self;
-    const UnitsAnswer answer
+    const UnitsReply answer
         = m_grantor.answer(question(0, waiting.customer, waiting.claim, 0), now);
     return grantorVerdict(waiting, answer, answer.outcome == UnitsOutcome::Granted, now);
 }
 
-LimitVerdict FleetLimits::grantorVerdict(const Waiting &waiting, const UnitsAnswer &answer,
-                                         bool isAdmitted, Instant now) const
+LimitDecision CustomerRateLimiter::grantorVerdict(const Waiting &waiting, const UnitsReply &answer,
+                                                  bool isAdmitted, Instant now) const
 {
-    LimitVerdict decided = verdict(waiting, LimitSource::Grantor, isAdmitted, now);
+    LimitDecision decided = verdict(waiting, LimitSource::Grantor, isAdmitted, now);
     decided.level = static_cast<double>(answer.level);
     decided.bucket = static_cast<double>(answer.bucket);
     decided.perSecond = static_cast<double>(answer.perSecond);
@@ -114,19 +115,20 @@
     return decided;
 }
 
-void FleetLimits::withdraw(ExchangeId exchange)
+void CustomerRateLimiter::cancel(ExchangeId exchange)
 {
     std::erase_if(m_waiting,
                   [exchange](const Waiting &waiting) { return waiting.exchange == exchange; });
 }
 
-bool FleetLimits::isSilent(std::uint64_t member, Instant now) const
+bool CustomerRateLimiter::isSilent(std::uint64_t member, Instant now) const
 {
     const auto peer = m_peers.find(member);
     return peer != m_peers.end() && peer->second.silentUntil > now;
 }
 
-std::optional<LimitPeer> FleetLimits::chooseGrantor(const Waiting &waiting, Instant now) const
+std::optional<LimitPeer> CustomerRateLimiter::chooseGrantor(const Waiting &waiting,
+                                                            Instant now) const
 {
     const auto mayBeAsked = [&](const LimitPeer &peer) {
         return peer.member != 0 && peer.member != m_self.member && !isSilent(peer.member, now)
@@ -144,27 +146,28 @@
     return next == ranks.end() ? std::nullopt : std::optional(*next);
 }
 
-UnitsAsk FleetLimits::question(std::uint64_t ask, std::uint64_t customer, const LimitClaim &claim,
-                               double ahead) const
+UnitsRequest CustomerRateLimiter::question(std::uint64_t ask, std::uint64_t customer,
+                                           const UnitDemand &claim, double ahead) const
 {
     return {
         .sender = m_self,
-        .ask = ask,
+        .requestId = ask,
         .customer = customer,
         .units = whole(claim.units),
-        .ahead = whole(ahead),
-        .partLeft = static_cast<std::uint32_t>(whole(claim.partLeft * Thousandths)),
+        .prefetch = whole(ahead),
+        .reservedThousandths
+        = static_cast<std::uint32_t>(whole(claim.reservedFraction * Thousandths)),
         .firstIsSilent = false,
     };
 }
 
-double FleetLimits::ahead(Account &account, const CustomerBudget &budget, Instant now) const
+double CustomerRateLimiter::ahead(Account &account, const CustomerBudget &budget, Instant now) const
 {
     const auto time = std::chrono::duration_cast<Duration>(budget.grantLife * AheadPart);
     return account.stock.expected(time, now);
 }
 
-void FleetLimits::ask(Waiting &waiting, Instant now)
+void CustomerRateLimiter::ask(Waiting &waiting, Instant now)
 {
     waiting.ask = 0;
     const std::optional<LimitPeer> peer = chooseGrantor(waiting, now);
@@ -177,10 +180,10 @@
     const double expected = ahead(account, waiting.budget, now);
     // Where the next request isn't expected within a grant's life, its units would be void.
     const double wanted = expected >= waiting.claim.units ? expected : 0;
-    UnitsAsk question = this->question(++m_lastAsk, waiting.customer, waiting.claim, wanted);
+    UnitsRequest question = this->question(++m_lastAsk, waiting.customer, waiting.claim, wanted);
     const LimitPeer *first = m_grantor.order().first(waiting.customer);
     question.firstIsSilent = first && isSilent(first->member, now);
-    waiting.ask = question.ask;
+    waiting.ask = question.requestId;
     waiting.asked = *peer;
     waiting.sent = now;
     waiting.due = now + AnswerTime;
@@ -188,7 +191,7 @@
     m_messenger.send(peer->address, question);
 }
 
-void FleetLimits::askNext(Waiting &waiting, Instant now)
+void CustomerRateLimiter::askNext(Waiting &waiting, Instant now)
 {
     const bool hasNext = chooseGrantor(waiting, now).has_value();
     if (m_isComplete || hasNext)
@@ -197,8 +200,8 @@
         waiting.due = now;
 }
 
-void FleetLimits::askAhead(std::uint64_t customer, Account &account, const CustomerBudget &budget,
-                           Instant now)
+void CustomerRateLimiter::askAhead(std::uint64_t customer, Account &account,
+                                   const CustomerBudget &budget, Instant now)
 {
     const double expected = ahead(account, budget, now);
     const double held = account.stock.granted(now);
@@ -215,9 +218,9 @@
     m_messenger.send(grantor.address, question(m_lastAsk, customer, {}, expected - held));
 }
 
-bool FleetLimits::takeAhead(const UnitsAnswer &answer, Instant now)
+bool CustomerRateLimiter::takeAhead(const UnitsReply &answer, Instant now)
 {
-    const auto open = m_aheadAsks.find(answer.ask);
+    const auto open = m_aheadAsks.find(answer.requestId);
     if (open == m_aheadAsks.end())
         return false;
     Account &account = m_accounts[open->second.customer];
@@ -228,25 +231,25 @@
     return true;
 }
 
-void FleetLimits::take(const UnitsAsk &ask, Instant now)
+void CustomerRateLimiter::take(const UnitsRequest &ask, Instant now)
 {
     m_messenger.send(ask.sender.address, m_grantor.answer(ask, now));
 }
 
-void FleetLimits::take(const UnitsAnswer &answer, Instant now)
+void CustomerRateLimiter::take(const UnitsReply &answer, Instant now)
 {
     m_peers.erase(answer.member);
     if (takeAhead(answer, now))
         return;
-    const auto found = std::ranges::find(m_waiting, answer.ask, &Waiting::ask);
+    const auto found = std::ranges::find(m_waiting, answer.requestId, &Waiting::ask);
     // Whoever waited for a late answer has gone on without it; its units are lost.
-    if (found == m_waiting.end() || answer.ask == 0 || found->asked.member != answer.member)
+    if (found == m_waiting.end() || answer.requestId == 0 || found->asked.member != answer.member)
         return;
     Waiting &waiting = *found;
     waiting.ask = 0;
     Account &account = m_accounts[waiting.customer];
     switch (answer.outcome) {
-    case UnitsOutcome::NotHere:
+    case UnitsOutcome::NotGrantor:
         waiting.notThere.insert(answer.member);
         waiting.named.reset();
         if (!answer.grantor.address.address.empty())
@@ -255,7 +258,7 @@
             account.grantor = {};
         askNext(waiting, now);
         return;
-    case UnitsOutcome::Soon:
+    case UnitsOutcome::Pending:
         waiting.due = now + (m_isComplete ? Duration(SoonPause) : Duration::zero());
         return;
     case UnitsOutcome::Granted:
@@ -271,20 +274,20 @@
     const bool isAdmitted = isGranted || account.stock.tryTake(waiting.claim.units, now);
     if (isAdmitted)
         account.stock.noteAdmitted(waiting.claim.units, now);
-    const LimitVerdict decided = grantorVerdict(waiting, answer, isAdmitted, now);
+    const LimitDecision decided = grantorVerdict(waiting, answer, isAdmitted, now);
     const ExchangeId exchange = waiting.exchange;
     m_waiting.erase(found);
     m_listener.onLimitDecided(exchange, decided);
 }
 
-void FleetLimits::noteMissed(std::uint64_t member, Instant now)
+void CustomerRateLimiter::noteMissed(std::uint64_t member, Instant now)
 {
     Peer &peer = m_peers[member];
     if (++peer.misses > MissesByChance)
         peer.silentUntil = now + SilenceTime;
 }
 
-std::optional<LimitVerdict> FleetLimits::withoutAnswer(Waiting &waiting, Instant now)
+std::optional<LimitDecision> CustomerRateLimiter::withoutAnswer(Waiting &waiting, Instant now)
 {
     if (m_grantor.isGrantor(waiting.customer))
         return decideHere(waiting, now);
@@ -299,36 +302,36 @@
     // Where the fleet has just started, whoever was asked knows no more.
     if (m_isComplete && now - waiting.since < LongestAsk)
         return std::nullopt;
-    LimitVerdict decided = verdict(waiting, LimitSource::Nobody, false, now);
+    LimitDecision decided = verdict(waiting, LimitSource::Nobody, false, now);
     decided.retryAfter = NobodyRetryAfter;
     return decided;
 }
 
-LimitVerdict FleetLimits::verdict(const Waiting &waiting, LimitSource source, bool isAdmitted,
-                                  Instant now) const
+LimitDecision CustomerRateLimiter::verdict(const Waiting &waiting, LimitSource source,
+                                           bool isAdmitted, Instant now) const
 {
-    LimitVerdict verdict;
+    LimitDecision verdict;
     verdict.isAdmitted = isAdmitted;
     verdict.source = source;
-    verdict.claim = waiting.claim;
+    verdict.demand = waiting.claim;
     verdict.grantor = source == LimitSource::Grantor ? waiting.asked.member : 0;
     verdict.waited = now - waiting.since;
-    verdict.asks = waiting.asks;
+    verdict.queries = waiting.asks;
     return verdict;
 }
 
-void FleetLimits::review(Instant now)
+void CustomerRateLimiter::review(Instant now)
 {
     m_grantor.review(m_isComplete, now);
     reviewWaiting(now);
 }
 
-void FleetLimits::reviewWaiting(Instant now)
+void CustomerRateLimiter::reviewWaiting(Instant now)
 {
     struct Decided
     {
         ExchangeId exchange;
-        LimitVerdict verdict;
+        LimitDecision verdict;
     };
     std::vector<Decided> decided;
     for (Waiting &waiting : m_waiting) {
@@ -336,18 +339,18 @@
             continue;
         if (waiting.ask != 0)
             noteMissed(waiting.asked.member, now);
-        if (const std::optional<LimitVerdict> verdict = withoutAnswer(waiting, now))
+        if (const std::optional<LimitDecision> verdict = withoutAnswer(waiting, now))
             decided.push_back({waiting.exchange, *verdict});
         else
             ask(waiting, now);
     }
     for (const Decided &one : decided)
-        withdraw(one.exchange);
+        cancel(one.exchange);
     for (const Decided &one : decided)
         m_listener.onLimitDecided(one.exchange, one.verdict);
 }
 
-std::optional<Instant> FleetLimits::nextReview() const
+std::optional<Instant> CustomerRateLimiter::nextReview() const
 {
     std::optional<Instant> next = m_grantor.nextReview();
     for (const Waiting &waiting : m_waiting)
--- a/packages/dispatch/apricothook/dispatch/apricothook_fleet_limits.hpp
+++ b/packages/dispatch/apricothook/dispatch/apricothook_customer_rate_limiter.hpp
@@ -24,24 +24,24 @@
 std::string_view nameOf(LimitSource source);
 
 /** Whether a request has its customer's units, and what decided that; all but parts in units. */
-struct LimitVerdict
+struct LimitDecision
 {
     bool isAdmitted = false;
     LimitSource source = LimitSource::Unlimited;
-    LimitClaim claim;
+    UnitDemand demand;
     /** Of the customer's bucket, as the grantor told; zero where it wasn't asked. */
     double level = 0;
     double bucket = 0;
     double perSecond = 0;
-    /** memberNumber() of the daemon that decided; zero where none did. */
+    /** memberHash() of the daemon that decided; zero where none did. */
     std::uint64_t grantor = 0;
     /** How long the request waited for this, and how often somebody was asked. */
     Duration waited {};
-    unsigned asks = 0;
+    unsigned queries = 0;
     /** When a refused caller may have what it asked for. */
     Duration retryAfter {};
 
-    auto operator<=>(const LimitVerdict &) const = default;
+    auto operator<=>(const LimitDecision &) const = default;
 };
 
 /** Is told of verdicts that take() couldn't give at once. */
@@ -49,11 +49,11 @@
 {
 public:
     virtual ~LimitListener() = default;
-    virtual void onLimitDecided(ExchangeId exchange, const LimitVerdict &verdict) = 0;
+    virtual void onLimitDecided(ExchangeId exchange, const LimitDecision &verdict) = 0;
 };
 
 /** The fleet as far as customers' limits depend on it. */
-struct KnownFleet
+struct FleetMembership
 {
     /** All live members, this one among them. */
     std::vector<GrantorCandidate> members;
@@ -77,7 +77,7 @@
  * next in the order. A question is answered in a few milliseconds, and a first event is due in some
  * hundreds, so callers don't notice.
  */
-class FleetLimits
+class CustomerRateLimiter
 {
 public:
     /** A grantor that lives answers within this, also while it is busy. */
@@ -94,35 +94,39 @@
     /** Time for whose requests units are asked ahead, in lives of a grant. */
     static constexpr double AheadPart = 0.5;
 
-    FleetLimits(const FleetBounds &bounds, LimitPeer self, LimitMessenger &messenger,
-                LimitListener &listener, GrantorListener &grantorListener, RandomSource &random);
+    CustomerRateLimiter(const FleetBounds &bounds, LimitPeer self, LimitMessenger &messenger,
+                        LimitListener &listener, GrantorListener &grantorListener,
+                        RandomSource &random);
 
     void setCustomers(const std::vector<CustomerRule> &customers, Instant now);
-    void setFleet(const KnownFleet &fleet, Instant now);
+    void setFleet(const FleetMembership &fleet, Instant now);
     /** Part of the fleet that this daemon reaches, 0 to 1. */
-    void setPart(double part, Instant now) { m_grantor.setPart(part, now); }
+    void setReachableFraction(double part, Instant now)
+    {
+        m_grantor.setReachableFraction(part, now);
+    }
 
     /**
      * Takes the request's units if there are any at hand or the customer is over its limit; nothing
      * where somebody must be asked. They stay taken when the request is refused later: what came in
      * time goes before what comes after it.
      */
-    std::optional<LimitVerdict> take(ExchangeId exchange, const CustomerRule &customer,
-                                     const LimitClaim &claim, Instant now);
+    std::optional<LimitDecision> take(ExchangeId exchange, const CustomerRule &customer,
+                                      const UnitDemand &claim, Instant now);
     /** The request no longer waits for its units; nothing happens if it didn't. */
-    void withdraw(ExchangeId exchange);
+    void cancel(ExchangeId exchange);
     /** Deals with what has waited too long, and with this daemon's own grants. */
     void review(Instant now);
     /** When review() has something to do again; nothing while nobody waits. */
     std::optional<Instant> nextReview() const;
 
-    void take(const UnitsAsk &ask, Instant now);
-    void take(const UnitsAnswer &answer, Instant now);
+    void take(const UnitsRequest &ask, Instant now);
+    void take(const UnitsReply &answer, Instant now);
     void take(const GrantorClaim &claim, Instant now) { m_grantor.take(claim, now); }
     void take(const GrantorHandover &handover, Instant now) { m_grantor.take(handover, now); }
     void take(const GrantorDenial &denial, Instant now) { m_grantor.take(denial, now); }
 
-    /** This daemon may grant units; setPart() is to be told. */
+    /** This daemon may grant units; setReachableFraction() is to be told. */
     bool isCandidate() const { return m_grantor.isCandidate(); }
 
 private:
@@ -131,7 +135,7 @@
         ExchangeId exchange;
         std::uint64_t customer = 0;
         CustomerBudget budget;
-        LimitClaim claim;
+        UnitDemand claim;
         Instant since {};
         /** The present question; zero while none is open. */
         std::uint64_t ask = 0;
@@ -177,20 +181,20 @@
     void askNext(Waiting &waiting, Instant now);
     void askAhead(std::uint64_t customer, Account &account, const CustomerBudget &budget,
                   Instant now);
-    UnitsAsk question(std::uint64_t ask, std::uint64_t customer, const LimitClaim &claim,
-                      double ahead) const;
+    UnitsRequest question(std::uint64_t ask, std::uint64_t customer, const UnitDemand &claim,
+                          double ahead) const;
     double ahead(Account &account, const CustomerBudget &budget, Instant now) const;
     void noteMissed(std::uint64_t member, Instant now);
     /** As the grantor itself. */
-    LimitVerdict decideHere(Waiting &waiting, Instant now);
-    LimitVerdict grantorVerdict(const Waiting &waiting, const UnitsAnswer &answer, bool isAdmitted,
-                                Instant now) const;
+    LimitDecision decideHere(Waiting &waiting, Instant now);
+    LimitDecision grantorVerdict(const Waiting &waiting, const UnitsReply &answer, bool isAdmitted,
+                                 Instant now) const;
     /** True when the answer was to a question for units ahead. */
-    bool takeAhead(const UnitsAnswer &answer, Instant now);
+    bool takeAhead(const UnitsReply &answer, Instant now);
     /** Decides for a request whose question wasn't answered; nothing where it waits on. */
-    std::optional<LimitVerdict> withoutAnswer(Waiting &waiting, Instant now);
-    LimitVerdict verdict(const Waiting &waiting, LimitSource source, bool isAdmitted,
-                         Instant now) const;
+    std::optional<LimitDecision> withoutAnswer(Waiting &waiting, Instant now);
+    LimitDecision verdict(const Waiting &waiting, LimitSource source, bool isAdmitted,
+                          Instant now) const;
     void reviewWaiting(Instant now);
 
     const FleetBounds m_bounds;
--- a/packages/dispatch/apricothook/dispatch/apricothook_dispatcher.cpp
+++ b/packages/dispatch/apricothook/dispatch/apricothook_dispatcher.cpp
@@ -8,23 +8,23 @@
 
 namespace Apricothook {
 
-std::uint64_t serviceNumber(const ServiceId &service)
+std::uint64_t serviceHash(const ServiceId &service)
 {
     return hashOf(service.text());
 }
 
-Instant Dispatcher::holdUntil(const WaitingWork &work) const
+Instant Dispatcher::holdUntil(const QueuedRequest &work) const
 {
     const Duration whole = work.deadline - work.arrived;
     const auto part = std::chrono::duration_cast<Duration>(whole * LongestHoldPart);
     const auto first = std::chrono::duration_cast<Duration>(work.objective * LongestFirst)
-        - m_targets.expectedFirstEvent(work.service, work.size);
+        - m_targets.expectedTimeToFirstEvent(work.service, work.size);
     return work.arrived + std::max(std::min(part, first), work.objective / 8);
 }
 
-void Dispatcher::offer(WaitingWork work, Instant now)
+void Dispatcher::submit(QueuedRequest work, Instant now)
 {
-    const WaitingWork newest = work;
+    const QueuedRequest newest = work;
     const bool hadAll
         = !newest.excluded.empty() && !m_targets.hasOther(newest.service, newest.excluded);
     if (hadAll || m_targets.isEvacuated(newest.service)) {
@@ -35,21 +35,21 @@
     queue.push_back(std::move(work));
     placeAll(queue, now);
     const bool waits
-        = std::ranges::find(queue, newest.exchange, &WaitingWork::exchange) != queue.end();
+        = std::ranges::find(queue, newest.exchange, &QueuedRequest::exchange) != queue.end();
     // Said at once: a request that waits in vain could have tried again elsewhere meanwhile.
     const bool mayWait = m_policies.waiting && now + expectedWait(newest, now) <= holdUntil(newest);
     if (waits && !mayWait) {
-        withdraw(newest.exchange);
+        cancel(newest.exchange);
         refuse(newest, now);
     }
     refuseOvertaken(queue, now);
 }
 
-void Dispatcher::withdraw(ExchangeId exchange)
+void Dispatcher::cancel(ExchangeId exchange)
 {
     for (auto &[service, queue] : m_queues)
         std::erase_if(queue,
-                      [exchange](const WaitingWork &work) { return work.exchange == exchange; });
+                      [exchange](const QueuedRequest &work) { return work.exchange == exchange; });
 }
 
 void Dispatcher::review(Instant now)
@@ -67,7 +67,7 @@
 
 void Dispatcher::sortByUrgency(Queue &queue)
 {
-    std::ranges::stable_sort(queue, {}, [](const WaitingWork &work) {
+    std::ranges::stable_sort(queue, {}, [](const QueuedRequest &work) {
         return std::tuple(work.rank, work.arrived + work.objective);
     });
 }
@@ -78,7 +78,7 @@
     // Work that waits for a fast target must not keep what a slow one can do from it.
     for (std::size_t next = 0;
          next < queue.size() && m_targets.hasRoom(queue[next].service, now);) {
-        const WaitingWork work = queue[next];
+        const QueuedRequest work = queue[next];
         if (place(work, now))
             queue.erase(queue.begin() + static_cast<std::ptrdiff_t>(next));
         else
@@ -86,13 +86,13 @@
     }
 }
 
-bool Dispatcher::place(const WaitingWork &work, Instant now)
+bool Dispatcher::place(const QueuedRequest &work, Instant now)
 {
     const std::uint32_t above
         = m_policies.othersFirst ? waitingOfOthers(work.service, work.rank, false) : 0;
-    if (above > 0 && m_targets.room(work.service, now).free <= above)
+    if (above > 0 && m_targets.capacity(work.service, now).free <= above)
         return false;
-    const BelievedTarget *target
+    const TrackedTarget *target
         = m_targets.choose({.service = work.service,
                             .size = work.size,
                             .untilFirst = work.arrived + work.objective - now,
@@ -101,14 +101,14 @@
                            now);
     if (!target)
         return false;
-    m_targets.started(target->entry.start(), work.size, now);
+    m_targets.requestStarted(target->entry.instance(), work.size, now);
     m_listener.onPlaced(work.exchange, target->entry);
     return true;
 }
 
 void Dispatcher::refuseAll(Queue &queue, Instant now)
 {
-    for (const WaitingWork &work : std::exchange(queue, {}))
+    for (const QueuedRequest &work : std::exchange(queue, {}))
         refuse(work, now);
 }
 
@@ -119,7 +119,7 @@
                                 [this, now](const auto &work) { return holdUntil(work) > now; });
     const Queue refused(overdue, queue.end());
     queue.erase(overdue, queue.end());
-    for (const WaitingWork &work : refused)
+    for (const QueuedRequest &work : refused)
         refuse(work, now);
 }
 
@@ -130,29 +130,29 @@
     });
     const Queue refused(overtaken, queue.end());
     queue.erase(overtaken, queue.end());
-    for (const WaitingWork &work : refused)
+    for (const QueuedRequest &work : refused)
         refuse(work, now);
 }
 
-void Dispatcher::refuse(const WaitingWork &work, Instant now)
+void Dispatcher::refuse(const QueuedRequest &work, Instant now)
 {
-    RefusalFacts facts;
+    RefusalDetails facts;
     facts.rank = work.rank;
-    facts.room = m_targets.room(work.service, now);
+    facts.capacity = m_targets.capacity(work.service, now);
     facts.ahead = waitingAhead(work);
     facts.expectedWait = expectedWait(work, now);
     facts.retryAfter = retryAfter(work, facts, now);
     m_listener.onRefused(work.exchange, facts);
 }
 
-Duration Dispatcher::retryAfter(const WaitingWork &work, const RefusalFacts &facts,
+Duration Dispatcher::retryAfter(const QueuedRequest &work, const RefusalDetails &facts,
                                 Instant now) const
 {
     const Duration left = std::max(work.deadline - now, Duration::zero());
     const auto latest = std::min<Duration>(
         std::chrono::duration_cast<Duration>(left * LatestReturnPart), LongestRetryAfter);
     // Without a sound target it isn't load that stands in the way, and it may be gone at once.
-    const bool isLoad = facts.room.slots > 0 && m_policies.lateReturn;
+    const bool isLoad = facts.capacity.slots > 0 && m_policies.lateReturn;
     const bool isLong = isLoad || m_targets.isEvacuated(work.service);
     return isLong ? latest
                   : std::min(std::max<Duration>(facts.expectedWait, ShortestRetryAfter), latest);
@@ -162,9 +162,9 @@
                                           bool withEqual) const
 {
     std::uint32_t waiting = 0;
-    const std::uint64_t number = serviceNumber(service);
+    const std::uint64_t number = serviceHash(service);
     for (const auto &[member, counts] : m_waitingOfMembers) {
-        for (const WaitingCount &count : counts) {
+        for (const QueueLength &count : counts) {
             const bool counts = count.rank.isAbove(rank) || (withEqual && count.rank == rank);
             if (count.service == number && counts)
                 waiting += count.waiting;
@@ -173,7 +173,7 @@
     return waiting;
 }
 
-std::uint32_t Dispatcher::waitingAhead(const WaitingWork &work) const
+std::uint32_t Dispatcher::waitingAhead(const QueuedRequest &work) const
 {
     std::uint32_t ahead = waitingOfOthers(work.service, work.rank, true);
     const auto queue = m_queues.find(work.service);
@@ -186,17 +186,17 @@
     return ahead;
 }
 
-Duration Dispatcher::expectedWait(const WaitingWork &work, Instant now) const
+Duration Dispatcher::expectedWait(const QueuedRequest &work, Instant now) const
 {
-    const ServiceRoom room = m_targets.room(work.service, now);
+    const ServiceCapacity room = m_targets.capacity(work.service, now);
     if (room.free > 0)
         return Duration::zero();
     const double slots = std::max<double>(room.slots, 1);
     return std::chrono::duration_cast<Duration>(std::chrono::duration<double, std::milli>(
-        (waitingAhead(work) + 1) * room.meanHold / slots));
+        (waitingAhead(work) + 1) * room.meanHoldTime / slots));
 }
 
-void Dispatcher::setWaitingOfMember(std::uint64_t member, std::vector<WaitingCount> counts)
+void Dispatcher::setMemberQueueLengths(std::uint64_t member, std::vector<QueueLength> counts)
 {
     if (counts.empty())
         m_waitingOfMembers.erase(member);
@@ -204,15 +204,15 @@
         m_waitingOfMembers[member] = std::move(counts);
 }
 
-std::vector<WaitingCount> Dispatcher::ownWaiting() const
+std::vector<QueueLength> Dispatcher::ownQueueLengths() const
 {
-    std::vector<WaitingCount> counts;
+    std::vector<QueueLength> counts;
     for (const auto &[service, queue] : m_queues) {
         std::map<RequestRank, std::uint32_t> byRank;
-        for (const WaitingWork &work : queue)
+        for (const QueuedRequest &work : queue)
             ++byRank[work.rank];
         for (const auto &[rank, waiting] : byRank)
-            counts.push_back({serviceNumber(service), rank, waiting});
+            counts.push_back({serviceHash(service), rank, waiting});
     }
     return counts;
 }
@@ -225,11 +225,11 @@
     return sum;
 }
 
-std::optional<Instant> Dispatcher::nextRefusal() const
+std::optional<Instant> Dispatcher::nextTimeout() const
 {
     std::optional<Instant> next;
     for (const auto &[service, queue] : m_queues) {
-        for (const WaitingWork &work : queue)
+        for (const QueuedRequest &work : queue)
             next = std::min(next.value_or(Instant::max()), holdUntil(work));
     }
     return next;
--- a/packages/dispatch/apricothook/dispatch/apricothook_dispatcher.hpp
+++ b/packages/dispatch/apricothook/dispatch/apricothook_dispatcher.hpp
@@ -19,36 +19,36 @@
 };
 
 /** A request that wants a target. */
-struct WaitingWork
+struct QueuedRequest
 {
     ExchangeId exchange;
     ServiceId service;
     RequestRank rank;
-    WorkSize size;
+    RequestSize size;
     Instant arrived {};
     Duration objective {};
     /** The final answer must be out by then. */
     Instant deadline {};
     /** Targets that had it already. */
-    std::set<TargetStart> excluded;
+    std::set<TargetInstance> excluded;
 };
 
 /** Requests of one rank that wait for a service at one member; part of its beacon. */
-struct WaitingCount
+struct QueueLength
 {
-    std::uint64_t service = 0; ///< serviceNumber() of the name.
+    std::uint64_t service = 0; ///< serviceHash() of the name.
     RequestRank rank;
     std::uint32_t waiting = 0;
 
-    auto operator<=>(const WaitingCount &) const = default;
+    auto operator<=>(const QueueLength &) const = default;
 };
 
-std::uint64_t serviceNumber(const ServiceId &service);
+std::uint64_t serviceHash(const ServiceId &service);
 
 /** What a refusal was decided by. */
-struct RefusalFacts
+struct RefusalDetails
 {
-    ServiceRoom room;
+    ServiceCapacity capacity;
     RequestRank rank;
     /** Requests that wait before this one, over all daemons as far as known. */
     std::uint32_t ahead = 0;
@@ -64,7 +64,7 @@
     virtual ~DispatchListener() = default;
     virtual void onPlaced(ExchangeId exchange, const TargetEntry &target) = 0;
     /** No target will have room in time. */
-    virtual void onRefused(ExchangeId exchange, const RefusalFacts &facts) = 0;
+    virtual void onRefused(ExchangeId exchange, const RefusalDetails &facts) = 0;
 };
 
 /**
@@ -106,23 +106,23 @@
     }
 
     /** Places the request at once, keeps it waiting, or refuses it. */
-    void offer(WaitingWork work, Instant now);
+    void submit(QueuedRequest work, Instant now);
     /** The request no longer waits; nothing happens if it didn't. */
-    void withdraw(ExchangeId exchange);
+    void cancel(ExchangeId exchange);
     /** Places what there is room for and refuses what has waited too long. */
     void review(Instant now);
-    void setWaitingOfMember(std::uint64_t member, std::vector<WaitingCount> counts);
-    std::vector<WaitingCount> ownWaiting() const;
+    void setMemberQueueLengths(std::uint64_t member, std::vector<QueueLength> counts);
+    std::vector<QueueLength> ownQueueLengths() const;
     std::size_t waiting() const;
     /** The earliest time at which review() may have to refuse something; nothing when none waits.
      */
-    std::optional<Instant> nextRefusal() const;
+    std::optional<Instant> nextTimeout() const;
 
 private:
-    using Queue = std::vector<WaitingWork>;
+    using Queue = std::vector<QueuedRequest>;
 
     static void sortByUrgency(Queue &queue);
-    bool place(const WaitingWork &work, Instant now);
+    bool place(const QueuedRequest &work, Instant now);
     void placeAll(Queue &queue, Instant now);
     void refuseAll(Queue &queue, Instant now);
     void refuseOverdue(Queue &queue, Instant now);
@@ -136,20 +136,20 @@
      * one of 66 by 0.001; six daemons are one cell and gain nothing.
      */
     void refuseOvertaken(Queue &queue, Instant now);
-    void refuse(const WaitingWork &work, Instant now);
-    Duration retryAfter(const WaitingWork &work, const RefusalFacts &facts, Instant now) const;
+    void refuse(const QueuedRequest &work, Instant now);
+    Duration retryAfter(const QueuedRequest &work, const RefusalDetails &facts, Instant now) const;
     /** Requests of others above the rank, or of the rank itself too. */
     std::uint32_t waitingOfOthers(const ServiceId &service, const RequestRank &rank,
                                   bool withEqual) const;
-    std::uint32_t waitingAhead(const WaitingWork &work) const;
-    Duration expectedWait(const WaitingWork &work, Instant now) const;
-    Instant holdUntil(const WaitingWork &work) const;
+    std::uint32_t waitingAhead(const QueuedRequest &work) const;
+    Duration expectedWait(const QueuedRequest &work, Instant now) const;
+    Instant holdUntil(const QueuedRequest &work) const;
 
     TargetTable &m_targets;
     DispatchListener &m_listener;
     const PolicySwitches m_policies;
     std::map<ServiceId, Queue> m_queues;
-    std::map<std::uint64_t, std::vector<WaitingCount>> m_waitingOfMembers;
+    std::map<std::uint64_t, std::vector<QueueLength>> m_waitingOfMembers;
 };
 
 } // namespace Apricothook
--- a/packages/dispatch/apricothook/dispatch/apricothook_grantor_role.cpp
+++ b/packages/dispatch/apricothook/dispatch/apricothook_grantor_role.cpp
@@ -52,7 +52,7 @@
     for (const CustomerRule &customer : customers) {
         if (customer.ratePerSecond <= 0)
             continue;
-        const std::uint64_t number = customerNumber(customer.name);
+        const std::uint64_t number = customerHash(customer.name);
         const auto known = m_roles.find(number);
         Role role = known == m_roles.end() ? Role() : std::move(known->second);
         role.budget = budgetOf(customer, bounds);
@@ -70,7 +70,7 @@
     m_order.setMembers(std::move(members));
 }
 
-void GrantorRole::setPart(double part, Instant now)
+void GrantorRole::setReachableFraction(double part, Instant now)
 {
     m_part = part;
     for (auto &[customer, role] : m_roles) {
@@ -219,12 +219,12 @@
     m_messenger.send(claim.sender.address, role.sent);
 }
 
-UnitsAnswer GrantorRole::answer(const UnitsAsk &ask, Instant now)
+UnitsReply GrantorRole::answer(const UnitsRequest &ask, Instant now)
 {
     noteStandstill(now);
-    UnitsAnswer answer;
+    UnitsReply answer;
     answer.member = m_self.member;
-    answer.ask = ask.ask;
+    answer.requestId = ask.requestId;
     const auto found = m_roles.find(ask.customer);
     if (found == m_roles.end())
         return answer;
@@ -234,17 +234,18 @@
         startClaim(ask.customer, role, now);
     // One that reaches few others leaves the customer to the grantor of the rest.
     if (role.state != State::Here || m_part <= 0) {
-        answer.outcome = role.state == State::Claiming ? UnitsOutcome::Soon : UnitsOutcome::NotHere;
+        answer.outcome
+            = role.state == State::Claiming ? UnitsOutcome::Pending : UnitsOutcome::NotGrantor;
         if (const LimitPeer *first = m_order.first(ask.customer); first && *first != m_self)
             answer.grantor = *first;
         return answer;
     }
     UnitBucket &bucket = role.bucket;
-    const LimitClaim claim {static_cast<double>(ask.units), ask.partLeft / Thousandths};
+    const UnitDemand claim {static_cast<double>(ask.units), ask.reservedThousandths / Thousandths};
     const bool isGranted = ask.units == 0 || bucket.tryTake(claim, now);
     answer.outcome = isGranted ? UnitsOutcome::Granted : UnitsOutcome::Refused;
     if (isGranted)
-        answer.units = ask.units + whole(bucket.takeAhead(static_cast<double>(ask.ahead), now));
+        answer.units = ask.units + whole(bucket.takeAhead(static_cast<double>(ask.prefetch), now));
     else
         answer.waitMs = millisecondsOf(bucket.timeUntil(claim, now));
     answer.level = whole(bucket.level());
--- a/packages/dispatch/apricothook/dispatch/apricothook_grantor_role.hpp
+++ b/packages/dispatch/apricothook/dispatch/apricothook_grantor_role.hpp
@@ -71,7 +71,7 @@
     void setMembers(std::vector<GrantorCandidate> members,
                     std::optional<Instant> startedTogether = std::nullopt);
     /** Part of the fleet that this daemon reaches, 0 to 1. */
-    void setPart(double part, Instant now);
+    void setReachableFraction(double part, Instant now);
     /** `knowsFleet`: this daemon has heard of the others, so it may take a customer. */
     void review(bool knowsFleet, Instant now);
     /** When review() has a claim to repeat or to end; nothing while there is none. */
@@ -80,7 +80,7 @@
     bool isGrantor(std::uint64_t customer) const;
     /** This daemon may become a grantor: its reach is to be known. */
     bool isCandidate() const { return m_order.isCandidate(m_self); }
-    UnitsAnswer answer(const UnitsAsk &ask, Instant now);
+    UnitsReply answer(const UnitsRequest &ask, Instant now);
     void take(const GrantorClaim &claim, Instant now);
     void take(const GrantorHandover &handover, Instant now);
     /**
--- a/packages/dispatch/apricothook/dispatch/apricothook_limit_messages.hpp
+++ b/packages/dispatch/apricothook/dispatch/apricothook_limit_messages.hpp
@@ -10,7 +10,7 @@
 /** A daemon as those who share customers' limits name and reach it. */
 struct LimitPeer
 {
-    /** memberNumber() of its name. */
+    /** memberHash() of its name. */
     std::uint64_t member = 0;
     /** Where it receives datagrams of other daemons. */
     Endpoint address;
@@ -24,36 +24,36 @@
 };
 
 /** A daemon wants units of a customer. */
-struct UnitsAsk
+struct UnitsRequest
 {
     LimitPeer sender;
     /** The sender's number of this question. */
-    std::uint64_t ask = 0;
-    std::uint64_t customer = 0; ///< customerNumber() of the name.
+    std::uint64_t requestId = 0;
+    std::uint64_t customer = 0; ///< customerHash() of the name.
     /** For a request that waits for them. */
     std::uint64_t units = 0;
     /** For requests that are expected; given while the bucket is more than half full. */
-    std::uint64_t ahead = 0;
+    std::uint64_t prefetch = 0;
     /** Part of the bucket to be left to others, in thousandths. */
-    std::uint32_t partLeft = 0;
+    std::uint32_t reservedThousandths = 0;
     /** The daemon that goes first doesn't answer the sender. */
     bool firstIsSilent = false;
 
     template <typename Archive, typename Self>
     static void fields(Archive &archive, Self &self)
     {
-        archive(self.sender, self.ask, self.customer, self.units, self.ahead, self.partLeft,
-                self.firstIsSilent);
+        archive(self.sender, self.requestId, self.customer, self.units, self.prefetch,
+                self.reservedThousandths, self.firstIsSilent);
     }
-    auto operator<=>(const UnitsAsk &) const = default;
+    auto operator<=>(const UnitsRequest &) const = default;
 };
 
 /** What a daemon says to a question for units. */
 enum class UnitsOutcome : std::uint8_t {
     Granted,
-    Refused, ///< The customer is over its limit.
-    Soon,    ///< The answering daemon is about to become the customer's grantor.
-    NotHere, ///< It isn't the customer's grantor.
+    Refused,    ///< The customer is over its limit.
+    Pending,    ///< The answering daemon is about to become the customer's grantor.
+    NotGrantor, ///< It isn't the customer's grantor.
 };
 
 constexpr bool isKnown(UnitsOutcome outcome)
@@ -61,18 +61,18 @@
     switch (outcome) {
     case UnitsOutcome::Granted:
     case UnitsOutcome::Refused:
-    case UnitsOutcome::Soon:
-    case UnitsOutcome::NotHere:
+    case UnitsOutcome::Pending:
+    case UnitsOutcome::NotGrantor:
         return true;
     }
     return false;
 }
 
-struct UnitsAnswer
+struct UnitsReply
 {
-    std::uint64_t member = 0; ///< memberNumber() of the answering daemon.
-    std::uint64_t ask = 0;
-    UnitsOutcome outcome = UnitsOutcome::NotHere;
+    std::uint64_t member = 0; ///< memberHash() of the answering daemon.
+    std::uint64_t requestId = 0;
+    UnitsOutcome outcome = UnitsOutcome::NotGrantor;
     /** With what was asked ahead; zero unless granted. */
     std::uint64_t units = 0;
     /** What the bucket holds, after this. */
@@ -88,10 +88,10 @@
     template <typename Archive, typename Self>
     static void fields(Archive &archive, Self &self)
     {
-        archive(self.member, self.ask, self.outcome, self.units, self.level, self.bucket,
+        archive(self.member, self.requestId, self.outcome, self.units, self.level, self.bucket,
                 self.perSecond, self.waitMs, self.grantor);
     }
-    auto operator<=>(const UnitsAnswer &) const = default;
+    auto operator<=>(const UnitsReply &) const = default;
 };
 
 /** The sender is to be the customer's grantor; whoever is it now hands over what it has left. */
@@ -132,7 +132,7 @@
 /** The sender isn't the customer's grantor, and leaves it to whoever claims it. */
 struct GrantorDenial
 {
-    std::uint64_t member = 0; ///< memberNumber() of the sender.
+    std::uint64_t member = 0; ///< memberHash() of the sender.
     /** The claim that it answers. */
     std::uint64_t claim = 0;
     std::uint64_t customer = 0;
@@ -146,7 +146,7 @@
 };
 
 using LimitMessage
-    = std::variant<UnitsAsk, UnitsAnswer, GrantorClaim, GrantorHandover, GrantorDenial>;
+    = std::variant<UnitsRequest, UnitsReply, GrantorClaim, GrantorHandover, GrantorDenial>;
 
 /** Carries messages about limits to other daemons; each may be lost, late or come twice. */
 class LimitMessenger
--- a/packages/dispatch/apricothook/dispatch/apricothook_limit_reserve.cpp
+++ b/packages/dispatch/apricothook/dispatch/apricothook_limit_reserve.cpp
@@ -4,13 +4,13 @@
 
 namespace Apricothook {
 
-void LimitReserve::noteUnits(LimitUnit unit, const RouteRule &route, double units)
+void LimitReserve::recordUnits(LimitUnit unit, const RouteRule &route, double units)
 {
     WorthOrder &order = unit == LimitUnit::Tokens ? m_byTokens : m_byRequests;
     order.note(route.name, route.tier, units);
 }
 
-double LimitReserve::partAbove(LimitUnit unit, const RouteRule &route) const
+double LimitReserve::reservedFraction(LimitUnit unit, const RouteRule &route) const
 {
     const WorthOrder &order = unit == LimitUnit::Tokens ? m_byTokens : m_byRequests;
     return std::min(PartForEachHalving * order.halvings(route.name, route.tier), MostReserved);
--- a/packages/dispatch/apricothook/dispatch/apricothook_limit_reserve.hpp
+++ b/packages/dispatch/apricothook/dispatch/apricothook_limit_reserve.hpp
@@ -29,9 +29,9 @@
     static constexpr double MostReserved = 0.2;
 
     /** Learns what a request of the route asks for. */
-    void noteUnits(LimitUnit unit, const RouteRule &route, double units);
+    void recordUnits(LimitUnit unit, const RouteRule &route, double units);
     /** Part of a customer's bucket that a request of the route may not use, 0 to MostReserved. */
-    double partAbove(LimitUnit unit, const RouteRule &route) const;
+    double reservedFraction(LimitUnit unit, const RouteRule &route) const;
 
 private:
     /** A request without a stated size, until there are samples. */
--- a/packages/dispatch/apricothook/dispatch/apricothook_reach_meter.cpp
+++ b/packages/dispatch/apricothook/dispatch/apricothook_reachability_estimator.cpp
@@ -1,4 +1,4 @@
-#include <apricothook/dispatch/apricothook_reach_meter.hpp>
+#include <apricothook/dispatch/apricothook_reachability_estimator.hpp>
 
 #include <algorithm>
 
@@ -12,7 +12,7 @@
 
 } // namespace
 
-void ReachMeter::sent(std::uint64_t probe, Instant now)
+void ReachabilityEstimator::sent(std::uint64_t probe, Instant now)
 {
     std::erase_if(m_probes, [now](const auto &entry) {
         return entry.second.sent < now - LongWindow - AnswerTime;
@@ -20,21 +20,22 @@
     m_probes[probe] = {now, false};
 }
 
-void ReachMeter::answered(std::uint64_t probe)
+void ReachabilityEstimator::answered(std::uint64_t probe)
 {
     const auto found = m_probes.find(probe);
     if (found != m_probes.end())
         found->second.isAnswered = true;
 }
 
-double ReachMeter::reach(std::size_t known, std::size_t daemons, Instant now) const
+double ReachabilityEstimator::reachableFraction(std::size_t known, std::size_t daemons,
+                                                Instant now) const
 {
     const double answered = std::min(reachWithin(ShortWindow, now), reachWithin(LongWindow, now));
     const auto all = static_cast<double>(std::max(known + 1, daemons));
     return (answered * static_cast<double>(known) + 1) / all;
 }
 
-double ReachMeter::reachWithin(Duration window, Instant now) const
+double ReachabilityEstimator::reachWithin(Duration window, Instant now) const
 {
     std::size_t counted = 0;
     std::size_t answered = 0;
@@ -50,7 +51,7 @@
     return static_cast<double>(answered) / static_cast<double>(counted);
 }
 
-double limitPartOf(double reach)
+double limitFractionOf(double reach)
 {
     return std::clamp((reach - SmallestSide) / (LargestSide - SmallestSide), 0.0, 1.0);
 }
--- a/packages/dispatch/apricothook/dispatch/apricothook_reach_meter.hpp
+++ b/packages/dispatch/apricothook/dispatch/apricothook_reachability_estimator.hpp
@@ -11,7 +11,7 @@
  * Which part of the fleet a grantor reaches, from probes to members drawn at random. It shows a
  * partition within a second in a fleet of any size, where word of single members takes longer.
  */
-class ReachMeter
+class ReachabilityEstimator
 {
 public:
     /** Shows a cut soon, with some two dozen probes at eight each round. */
@@ -23,7 +23,7 @@
     /** Fewer probes tell nothing; the fleet counts as reached. */
     static constexpr std::size_t FewestProbes = 4;
     /** Members that are probed in a round. */
-    static constexpr std::size_t ProbesOfRound = 8;
+    static constexpr std::size_t ProbesPerRound = 8;
 
     void sent(std::uint64_t probe, Instant now);
     void answered(std::uint64_t probe);
@@ -31,7 +31,7 @@
      * 0 to 1, this daemon counted with the `known` others that probes are drawn from; the lesser of
      * what both windows show. Those of `daemons` that it no longer knows aren't reached.
      */
-    double reach(std::size_t known, std::size_t daemons, Instant now) const;
+    double reachableFraction(std::size_t known, std::size_t daemons, Instant now) const;
 
 private:
     struct Probe
@@ -50,6 +50,6 @@
  * sides of a partition together have no more than the whole, less what chance may add to both. A
  * third that doesn't answer is taken for dead: if it lives cut off, it has no more than its credit.
  */
-double limitPartOf(double reach);
+double limitFractionOf(double reach);
 
 } // namespace Apricothook
--- a/packages/dispatch/apricothook/dispatch/apricothook_retry_allowance.cpp
+++ b/packages/dispatch/apricothook/dispatch/apricothook_retry_budget_share.cpp
@@ -1,23 +1,23 @@
-#include <apricothook/dispatch/apricothook_retry_allowance.hpp>
+#include <apricothook/dispatch/apricothook_retry_budget_share.hpp>
 
 namespace Apricothook {
 
-RetryVerdict RetryAllowance::tryTake(Instant now, std::optional<std::size_t> daemons)
+RetryDecision RetryBudgetShare::tryTake(Instant now, std::optional<std::size_t> daemons)
 {
     forgetBefore(now - m_bounds.retryWindow);
-    RetryVerdict verdict;
+    RetryDecision verdict;
     verdict.requests = m_requests.size();
-    verdict.repeats = m_repeats.size();
+    verdict.retries = m_repeats.size();
     verdict.daemons = daemons.value_or(0);
     const double ofRequests = m_bounds.retryRatio * static_cast<double>(verdict.requests);
     verdict.allowed = UsedPart * (ofRequests + slackPart(daemons, now));
-    verdict.isGranted = static_cast<double>(verdict.repeats) + 1 <= verdict.allowed;
+    verdict.isGranted = static_cast<double>(verdict.retries) + 1 <= verdict.allowed;
     if (verdict.isGranted)
         m_repeats.push_back(now);
     return verdict;
 }
 
-double RetryAllowance::slackPart(std::optional<std::size_t> daemons, Instant now) const
+double RetryBudgetShare::slackPart(std::optional<std::size_t> daemons, Instant now) const
 {
     if (!daemons)
         return 0;
@@ -27,7 +27,7 @@
     return grown * m_bounds.retrySlack / static_cast<double>(*daemons);
 }
 
-void RetryAllowance::forgetBefore(Instant start)
+void RetryBudgetShare::forgetBefore(Instant start)
 {
     for (std::deque<Instant> *times : {&m_requests, &m_repeats}) {
         while (!times->empty() && times->front() < start)
--- a/packages/dispatch/apricothook/dispatch/apricothook_retry_allowance.hpp
+++ b/packages/dispatch/apricothook/dispatch/apricothook_retry_budget_share.hpp
@@ -8,19 +8,19 @@
 namespace Apricothook {
 
 /** Whether a request may be sent again, and what decided it. */
-struct RetryVerdict
+struct RetryDecision
 {
     bool isGranted = false;
     /** The service's requests at this daemon within the window. */
     std::size_t requests = 0;
     /** Repeats within the window, without this one. */
-    std::size_t repeats = 0;
+    std::size_t retries = 0;
     /** Repeats that the window may hold. */
     double allowed = 0;
     /** Among so many daemons the slack is divided; zero while that is unknown. */
     std::size_t daemons = 0;
 
-    auto operator<=>(const RetryVerdict &) const = default;
+    auto operator<=>(const RetryDecision &) const = default;
 };
 
 /**
@@ -34,7 +34,7 @@
  * A process doesn't know what its predecessor sent again. So its part of the slack grows from
  * nothing over one window: all successors of a process that was killed have one part together.
  */
-class RetryAllowance
+class RetryBudgetShare
 {
 public:
     /**
@@ -45,14 +45,14 @@
     static constexpr double UsedPart = 0.5;
 
     /** `started`: when this process began, or later. */
-    RetryAllowance(const FleetBounds &bounds, Instant started)
+    RetryBudgetShare(const FleetBounds &bounds, Instant started)
         : m_bounds(bounds), m_started(started)
     {
     }
 
     void countRequest(Instant now) { m_requests.push_back(now); }
     /** Takes one repeat if the allowance has it. `daemons` of the fleet, if that is known. */
-    RetryVerdict tryTake(Instant now, std::optional<std::size_t> daemons);
+    RetryDecision tryTake(Instant now, std::optional<std::size_t> daemons);
 
 private:
     void forgetBefore(Instant start);
--- a/packages/dispatch/apricothook/dispatch/apricothook_route_urgency.cpp
+++ b/packages/dispatch/apricothook/dispatch/apricothook_route_urgency.cpp
@@ -4,8 +4,8 @@
 
 namespace Apricothook {
 
-void RouteUrgency::noteHold(const ServiceId &service, const ClassId &route, Tier tier,
-                            Duration held)
+void RouteUrgency::recordHoldTime(const ServiceId &service, const ClassId &route, Tier tier,
+                                  Duration held)
 {
     WorthOrder &order = m_services.try_emplace(service, DefaultHold, ShortestHold).first->second;
     order.note(route, tier, std::chrono::duration<double, std::milli>(held).count());
--- a/packages/dispatch/apricothook/dispatch/apricothook_route_urgency.hpp
+++ b/packages/dispatch/apricothook/dispatch/apricothook_route_urgency.hpp
@@ -23,7 +23,7 @@
     /** Milliseconds below which a hold is mostly the way to the target and back. */
     static constexpr double ShortestHold = 10;
 
-    void noteHold(const ServiceId &service, const ClassId &route, Tier tier, Duration held);
+    void recordHoldTime(const ServiceId &service, const ClassId &route, Tier tier, Duration held);
     Tier tierOf(const ServiceId &service, const ClassId &route, Tier tier) const;
 
 private:
--- a/packages/dispatch/apricothook/dispatch/apricothook_serving_configuration.hpp
+++ b/packages/dispatch/apricothook/dispatch/apricothook_serving_configuration.hpp
@@ -46,7 +46,7 @@
     bool isPublic = false;
 
     /** A request that was sent to one target may be sent to another. */
-    bool mayRunAgain() const { return isStream ? isResumable : isIdempotent; }
+    bool isRetryable() const { return isStream ? isResumable : isIdempotent; }
     auto operator<=>(const RouteRule &) const = default;
 };
 
@@ -78,7 +78,7 @@
     std::optional<Tier> tier;
     LimitUnit unit = LimitUnit::Requests;
     /** What a request counts that states no tokens. */
-    std::uint64_t plainTokens = 0;
+    std::uint64_t defaultTokens = 0;
     /** Units a second over the whole fleet; zero means no limit. */
     double ratePerSecond = 0;
     double burst = 0;
@@ -113,20 +113,20 @@
  * One start of a target. A target that starts again under its id holds and knows nothing of what
  * the start before it was sent.
  */
-struct TargetStart
+struct TargetInstance
 {
     TargetId id;
     /** Milliseconds since 1970; zero while the target doesn't tell it. */
     std::uint64_t startedAt = 0;
 
-    auto operator<=>(const TargetStart &) const = default;
+    auto operator<=>(const TargetInstance &) const = default;
 };
 
 /** A target as it registered itself. */
 struct TargetEntry
 {
     TargetId id;
-    /** As in TargetStart. */
+    /** As in TargetInstance. */
     std::uint64_t startedAt = 0;
     /** Grows with each write of this start; a write may take effect after later ones. */
     std::uint64_t sequence = 0;
@@ -137,9 +137,9 @@
     std::uint32_t slots = 1;
     bool isDraining = false;
     /** When it wrote this, it was still cold for so long. */
-    Duration coldFor {};
+    Duration remainingColdTime {};
 
-    TargetStart start() const { return {id, startedAt}; }
+    TargetInstance instance() const { return {id, startedAt}; }
     auto operator<=>(const TargetEntry &) const = default;
 };
 
@@ -161,13 +161,13 @@
     double coldOvershoot = 1;
     double coldSlack = 0;
     /** A target writes its entry once in it. */
-    Duration entryPause = std::chrono::milliseconds(1200);
+    Duration entryInterval = std::chrono::milliseconds(1200);
     /** Within it, what is published is in force at every daemon. */
-    Duration inForce = std::chrono::seconds(2);
+    Duration applyTimeout = std::chrono::seconds(2);
     /** How long a stopping daemon may live on. */
     Duration grace = std::chrono::seconds(8);
     /** Longest time for which a lookup's answer may be kept. */
-    Duration lookupKeep = std::chrono::seconds(5);
+    Duration lookupTtl = std::chrono::seconds(5);
 
     auto operator<=>(const FleetBounds &) const = default;
 };
--- a/packages/dispatch/apricothook/dispatch/apricothook_size_order.hpp
+++ b/packages/dispatch/apricothook/dispatch/apricothook_size_order.hpp
@@ -42,12 +42,12 @@
     static constexpr double FirstLotPart = 0.01;
 
     /** Learns what a request of the route is expected to take, in milliseconds. */
-    void note(const ClassId &route, double expected);
+    void recordSize(const ClassId &route, double expected);
     /**
      * -MostLevels for the smallest to MostLevels for the largest; zero while nothing is known.
-     * `lot` is drawn once for the request, 0 to 1.
+     * `randomDraw` is drawn once for the request, 0 to 1.
      */
-    int level(const ClassId &route, double expected, double lot) const;
+    int level(const ClassId &route, double expected, double randomDraw) const;
 
 private:
     std::map<ClassId, MovingMean> m_routes;
--- a/packages/dispatch/apricothook/dispatch/apricothook_slot_partition.hpp
+++ b/packages/dispatch/apricothook/dispatch/apricothook_slot_partition.hpp
@@ -8,7 +8,7 @@
 /** A target's slots, to be divided among cells. */
 struct PartitionedTarget
 {
-    std::uint64_t target = 0; ///< targetNumber() of the id.
+    std::uint64_t target = 0; ///< targetHash() of the id.
     std::uint32_t slots = 0;
 
     auto operator<=>(const PartitionedTarget &) const = default;
--- a/packages/dispatch/apricothook/dispatch/apricothook_target_table.cpp
+++ b/packages/dispatch/apricothook/dispatch/apricothook_target_table.cpp
@@ -48,26 +48,26 @@
 
 } // namespace
 
-std::uint64_t targetNumber(const TargetStart &start)
+std::uint64_t targetHash(const TargetInstance &start)
 {
     return hashOf(start.id.text(), start.startedAt);
 }
 
 void TargetTable::put(const TargetEntry &entry, Instant now)
 {
-    BelievedTarget &target = m_targets[entry.id];
+    TrackedTarget &target = m_targets[entry.id];
     const ServiceId before = target.entry.service;
-    if (target.entry.start() != entry.start()) {
-        m_numbers.erase(targetNumber(target.entry.start()));
+    if (target.entry.instance() != entry.instance()) {
+        m_numbers.erase(targetHash(target.entry.instance()));
         target = {};
     }
     target.entry = entry;
-    noteCold(target, now + entry.coldFor, now);
-    m_numbers[targetNumber(entry.start())] = entry.id;
+    noteCold(target, now + entry.remainingColdTime, now);
+    m_numbers[targetHash(entry.instance())] = entry.id;
     target.requestsOfOthers = 0;
     for (const auto &[member, loads] : m_loadsOfMembers) {
         for (const TargetLoad &load : loads) {
-            if (load.target == targetNumber(entry.start()))
+            if (load.target == targetHash(entry.instance()))
                 target.requestsOfOthers += load.running;
         }
     }
@@ -78,11 +78,11 @@
 
 void TargetTable::remove(const TargetId &target)
 {
-    const BelievedTarget *known = find(target);
+    const TrackedTarget *known = find(target);
     if (!known)
         return;
     const ServiceId service = known->entry.service;
-    m_numbers.erase(targetNumber(known->entry.start()));
+    m_numbers.erase(targetHash(known->entry.instance()));
     m_targets.erase(target);
     divide(service);
 }
@@ -103,7 +103,7 @@
     divideAll();
 }
 
-void TargetTable::setColdFleet(ColdFleet fleet)
+void TargetTable::setColdTargetSenders(ColdTargetSenders fleet)
 {
     const bool doubtedAll = m_cold.doubtsAll();
     if (!m_cold.setFleet(std::move(fleet)))
@@ -128,7 +128,7 @@
     divideAll();
 }
 
-std::size_t TargetTable::countOf(const DataCentreId &dataCentre) const
+std::size_t TargetTable::countIn(const DataCentreId &dataCentre) const
 {
     return static_cast<std::size_t>(std::ranges::count_if(
         m_targets, [&](const auto &entry) { return entry.second.entry.dataCentre == dataCentre; }));
@@ -147,7 +147,7 @@
         std::ranges::count_if(m_targets, [](const auto &entry) { return entry.second.isCold; }));
 }
 
-void TargetTable::noteCold(BelievedTarget &target, Instant until, Instant now) const
+void TargetTable::noteCold(TrackedTarget &target, Instant until, Instant now) const
 {
     // Never sooner than was heard before: entries may come into force out of order.
     target.coldUntil = std::max(target.coldUntil, until);
@@ -171,14 +171,14 @@
     divideCold();
 }
 
-bool TargetTable::takesWork(const BelievedTarget &target) const
+bool TargetTable::takesWork(const TrackedTarget &target) const
 {
     return !target.entry.isDraining && !m_evacuated.contains(target.entry.dataCentre);
 }
 
-std::uint32_t TargetTable::freeSlots(const BelievedTarget &target, Instant now) const
+std::uint32_t TargetTable::freeSlots(const TrackedTarget &target, Instant now) const
 {
-    const bool isBounded = target.mostInSecond != ColdGuard::Unlimited;
+    const bool isBounded = target.mostInSecond != ColdTargetLimiter::Unlimited;
     if (isBounded && target.sends.count(now) >= target.mostInSecond)
         return 0;
     return target.cellSlots - std::min(target.cellSlots, target.load());
@@ -205,7 +205,7 @@
 {
     ServiceTargets &targets = m_services[service];
     targets = {};
-    std::vector<BelievedTarget *> taking;
+    std::vector<TrackedTarget *> taking;
     std::vector<PartitionedTarget> slots;
     for (auto &[id, target] : m_targets) {
         if (target.entry.service != service)
@@ -221,15 +221,16 @@
             m_nextWarm = std::min(m_nextWarm.value_or(target.coldUntil), target.coldUntil);
         taking.push_back(&target);
         // By the id alone: a target that starts again stays with its cell.
-        slots.push_back({targetNumber({id}), target.entry.slots});
+        slots.push_back({targetHash({id}), target.entry.slots});
     }
     const std::vector<std::uint32_t> parts = slotsOfCell(slots, m_cells);
     for (std::size_t index = 0; index < taking.size(); ++index) {
-        BelievedTarget &target = *taking[index];
+        TrackedTarget &target = *taking[index];
         target.mostInSecond
-            = m_cold.mostInSecond(service, targetNumber(target.entry.start()), target.isCold);
+            = m_cold.mostInSecond(service, targetHash(target.entry.instance()), target.isCold);
         // It stays in the line, so that the cells' other slots don't move for seconds.
-        const bool isOwn = target.mostInSecond > 0 && target.mostInSecond != ColdGuard::Unlimited;
+        const bool isOwn
+            = target.mostInSecond > 0 && target.mostInSecond != ColdTargetLimiter::Unlimited;
         target.cellSlots = isOwn ? target.entry.slots : parts[index];
         if (target.mostInSecond == 0)
             target.cellSlots = 0;
@@ -245,27 +246,27 @@
     return found == m_services.end() ? None : found->second;
 }
 
-const BelievedTarget *TargetTable::find(const TargetId &target) const
+const TrackedTarget *TargetTable::find(const TargetId &target) const
 {
     const auto found = m_targets.find(target);
     return found == m_targets.end() ? nullptr : &found->second;
 }
 
-BelievedTarget *TargetTable::find(const TargetId &target)
+TrackedTarget *TargetTable::find(const TargetId &target)
 {
     const auto found = m_targets.find(target);
     return found == m_targets.end() ? nullptr : &found->second;
 }
 
-BelievedTarget *TargetTable::find(const TargetStart &start)
+TrackedTarget *TargetTable::find(const TargetInstance &start)
 {
-    BelievedTarget *found = find(start.id);
-    return found && found->entry.start() == start ? found : nullptr;
+    TrackedTarget *found = find(start.id);
+    return found && found->entry.instance() == start ? found : nullptr;
 }
 
-void TargetTable::started(const TargetStart &target, const WorkSize &work, Instant now)
+void TargetTable::requestStarted(const TargetInstance &target, const RequestSize &work, Instant now)
 {
-    if (BelievedTarget *found = find(target)) {
+    if (TrackedTarget *found = find(target)) {
         ++found->ownRequests;
         // Noted of warm ones too: what they got just before they turned cold counts.
         if (m_cold.isBounded(found->entry.service))
@@ -274,24 +275,26 @@
     }
 }
 
-void TargetTable::firstEvent(const TargetStart &target, const WorkSize &work, Duration took)
+void TargetTable::firstEventReceived(const TargetInstance &target, const RequestSize &work,
+                                     Duration took)
 {
-    if (BelievedTarget *found = find(target)) {
+    if (TrackedTarget *found = find(target)) {
         found->unreadTokens -= std::min(found->unreadTokens, work.promptTokens);
         found->speed.addFirstEvent(work.promptTokens, took);
     }
 }
 
-void TargetTable::ended(const TargetStart &target, const WorkSize &work, TargetOutcome outcome,
-                        Duration held, bool hadFirstEvent, Instant now)
+void TargetTable::requestEnded(const TargetInstance &target, const RequestSize &work,
+                               TargetOutcome outcome, Duration held, bool hadFirstEvent,
+                               Instant now)
 {
-    BelievedTarget *found = find(target);
+    TrackedTarget *found = find(target);
     if (!found)
         return;
     found->ownRequests -= std::min(found->ownRequests, 1U);
     if (!hadFirstEvent)
         found->unreadTokens -= std::min(found->unreadTokens, work.promptTokens);
-    if (outcome == TargetOutcome::Withdrawn)
+    if (outcome == TargetOutcome::Cancelled)
         return;
     if (outcome == TargetOutcome::Full) {
         found->avoidedUntil = std::max(found->avoidedUntil, now + FullPause);
@@ -304,7 +307,7 @@
         punish(*found, outcome, now);
 }
 
-void TargetTable::punish(BelievedTarget &target, TargetOutcome outcome, Instant now)
+void TargetTable::punish(TrackedTarget &target, TargetOutcome outcome, Instant now)
 {
     ++target.failuresInRow;
     if (!m_policies.avoidance)
@@ -319,12 +322,12 @@
     target.avoidedUntil = std::max(target.avoidedUntil, now + Duration(pause));
 }
 
-void TargetTable::setLoadOfMember(std::uint64_t member, const std::vector<TargetLoad> &loads)
+void TargetTable::setMemberLoad(std::uint64_t member, const std::vector<TargetLoad> &loads)
 {
     const auto change = [this](const std::vector<TargetLoad> &of, bool add) {
         for (const TargetLoad &load : of) {
             const auto number = m_numbers.find(load.target);
-            BelievedTarget *target = number == m_numbers.end() ? nullptr : find(number->second);
+            TrackedTarget *target = number == m_numbers.end() ? nullptr : find(number->second);
             if (!target)
                 continue;
             target->requestsOfOthers = add
@@ -345,7 +348,7 @@
     std::vector<TargetLoad> loads;
     for (const auto &[id, target] : m_targets) {
         if (target.ownRequests > 0)
-            loads.push_back({targetNumber(target.entry.start()), target.ownRequests});
+            loads.push_back({targetHash(target.entry.instance()), target.ownRequests});
     }
     return loads;
 }
@@ -366,7 +369,7 @@
     Sum firstEvent;
     Sum gap;
     Sum hold;
-    for (const BelievedTarget *target : ofService(service).all) {
+    for (const TrackedTarget *target : ofService(service).all) {
         firstEvent.add(target->speed.firstEvent.value());
         gap.add(target->speed.eventGap.value());
         hold.add(target->speed.hold.value());
@@ -374,7 +377,7 @@
     return {firstEvent.meanOr(DefaultFirstEvent), gap.meanOr(DefaultGap), hold.meanOr(DefaultHold)};
 }
 
-TargetTable::Forecast TargetTable::forecast(const BelievedTarget &target, const WorkSize &work,
+TargetTable::Forecast TargetTable::forecast(const TrackedTarget &target, const RequestSize &work,
                                             const UsualSpeed &usual) const
 {
     const double slowdown = 1 + SlowdownOfEach * target.usedPart() * target.entry.slots;
@@ -389,7 +392,7 @@
     return {first, first + gap * static_cast<double>(work.events)};
 }
 
-double TargetTable::cost(const BelievedTarget &target, const Forecast &forecast) const
+double TargetTable::cost(const TrackedTarget &target, const Forecast &forecast) const
 {
     const double used = target.usedPart();
     if (!m_policies.forecast)
@@ -401,7 +404,7 @@
     return forecast.whole * scarcity + failure + distance;
 }
 
-const BelievedTarget *TargetTable::choose(const TargetWish &wish, Instant now) const
+const TrackedTarget *TargetTable::choose(const TargetWish &wish, Instant now) const
 {
     const ServiceTargets &targets = ofService(wish.service);
     const Choice ofCell = chooseAmong(targets.ofCell, wish, false, now);
@@ -412,7 +415,7 @@
     return ofOthers.target ? ofOthers.target : ofCell.target;
 }
 
-TargetTable::Choice TargetTable::chooseAmong(const std::vector<const BelievedTarget *> &candidates,
+TargetTable::Choice TargetTable::chooseAmong(const std::vector<const TrackedTarget *> &candidates,
                                              const TargetWish &wish, bool ofOtherCells,
                                              Instant now) const
 {
@@ -427,12 +430,12 @@
     const UsualSpeed usual = usualSpeed(wish.service);
     const double untilFirst = milliseconds(wish.untilFirst) * FirstMargin;
     const double untilEnd = milliseconds(wish.untilEnd) * EndMargin;
-    const BelievedTarget *best = nullptr;
+    const TrackedTarget *best = nullptr;
     Rank bestRank;
     bool fullOneWouldEnd = false;
     bool fullOneIsSound = false;
-    for (const BelievedTarget *target : candidates) {
-        if (!takesWork(*target) || wish.excluded.contains(target->entry.start()))
+    for (const TrackedTarget *target : candidates) {
+        if (!takesWork(*target) || wish.excluded.contains(target->entry.instance()))
             continue;
         if (target->mostInSecond == 0)
             continue;
@@ -460,17 +463,17 @@
     return {best, someIsSound};
 }
 
-bool TargetTable::hasOther(const ServiceId &service, const std::set<TargetStart> &excluded) const
+bool TargetTable::hasOther(const ServiceId &service, const std::set<TargetInstance> &excluded) const
 {
-    return std::ranges::any_of(ofService(service).all, [&, this](const BelievedTarget *target) {
-        return takesWork(*target) && !excluded.contains(target->entry.start());
+    return std::ranges::any_of(ofService(service).all, [&, this](const TrackedTarget *target) {
+        return takesWork(*target) && !excluded.contains(target->entry.instance());
     });
 }
 
 bool TargetTable::isEvacuated(const ServiceId &service) const
 {
     bool someEvacuated = false;
-    for (const BelievedTarget *target : ofService(service).all) {
+    for (const TrackedTarget *target : ofService(service).all) {
         if (takesWork(*target))
             return false;
         someEvacuated |= !target->entry.isDraining;
@@ -489,10 +492,10 @@
            });
 }
 
-ServiceRoom TargetTable::room(const ServiceId &service, Instant now) const
+ServiceCapacity TargetTable::capacity(const ServiceId &service, Instant now) const
 {
-    ServiceRoom room;
-    for (const BelievedTarget *target : ofService(service).ofCell) {
+    ServiceCapacity room;
+    for (const TrackedTarget *target : ofService(service).ofCell) {
         if (target->avoidedUntil > now)
             continue;
         room.slots += target->cellSlots;
@@ -500,18 +503,19 @@
     }
     room.evacuated = ofService(service).evacuated;
     room.cold = ofService(service).cold;
-    room.meanHold = usualSpeed(service).hold;
+    room.meanHoldTime = usualSpeed(service).hold;
     return room;
 }
 
-Duration TargetTable::expectedWhole(const ServiceId &service, const WorkSize &work) const
+Duration TargetTable::expectedDuration(const ServiceId &service, const RequestSize &work) const
 {
     const std::chrono::duration<double, std::milli> events(usualSpeed(service).eventGap
                                                            * static_cast<double>(work.events));
-    return expectedFirstEvent(service, work) + std::chrono::duration_cast<Duration>(events);
+    return expectedTimeToFirstEvent(service, work) + std::chrono::duration_cast<Duration>(events);
 }
 
-Duration TargetTable::expectedFirstEvent(const ServiceId &service, const WorkSize &work) const
+Duration TargetTable::expectedTimeToFirstEvent(const ServiceId &service,
+                                               const RequestSize &work) const
 {
     const UsualSpeed usual = usualSpeed(service);
     const double expected = work.isStream
--- a/packages/dispatch/apricothook/dispatch/apricothook_target_table.hpp
+++ b/packages/dispatch/apricothook/dispatch/apricothook_target_table.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <apricothook/dispatch/apricothook_cold_guard.hpp>
+#include <apricothook/dispatch/apricothook_cold_target_limiter.hpp>
 #include <apricothook/dispatch/apricothook_policy_switches.hpp>
 #include <apricothook/dispatch/apricothook_recent_sends.hpp>
 #include <apricothook/dispatch/apricothook_serving_configuration.hpp>
@@ -18,7 +18,7 @@
 /** Requests that one member has at a target; part of its beacon. */
 struct TargetLoad
 {
-    std::uint64_t target = 0; ///< targetNumber() of the start.
+    std::uint64_t target = 0; ///< targetHash() of the start.
     std::uint32_t running = 0;
 
     auto operator<=>(const TargetLoad &) const = default;
@@ -28,17 +28,17 @@
  * A short name of a target's start for messages between daemons. Loads that are told of a former
  * start don't count at the present one: it would look busy with work that it never got.
  */
-std::uint64_t targetNumber(const TargetStart &start);
+std::uint64_t targetHash(const TargetInstance &start);
 
 /** What a request asks of a target. */
-struct WorkSize
+struct RequestSize
 {
     std::uint64_t promptTokens = 0;
     /** Expected events of a stream; an estimate that is often far off. */
     std::uint64_t events = 0;
     bool isStream = false;
 
-    auto operator<=>(const WorkSize &) const = default;
+    auto operator<=>(const RequestSize &) const = default;
 };
 
 /** What became of a request at a target, as far as the target is to blame. */
@@ -47,11 +47,11 @@
     Failed,      ///< An error of its own, a broken or unreadable answer.
     Unreachable, ///< No connection, or silence.
     Full,        ///< It said that it had no room.
-    Withdrawn,   ///< Ended by this side; tells nothing of the target.
+    Cancelled,   ///< Ended by this side; tells nothing of the target.
 };
 
 /** A target with what this daemon believes of it. */
-struct BelievedTarget
+struct TrackedTarget
 {
     TargetEntry entry;
     /** Slots that this daemon's cell uses; the others are other cells'. */
@@ -69,7 +69,7 @@
     /** It is cold and bears only a few requests. */
     bool isCold = false;
     /** Requests that this daemon may send it in any one second. */
-    std::uint32_t mostInSecond = ColdGuard::Unlimited;
+    std::uint32_t mostInSecond = ColdTargetLimiter::Unlimited;
     /** Own requests to it, while its service bounds what cold targets get. */
     RecentSends sends;
 
@@ -83,22 +83,22 @@
 struct TargetWish
 {
     ServiceId service;
-    WorkSize size;
+    RequestSize size;
     /** Until the first event, for an answer on time; none is left for one that is late already. */
     Duration untilFirst {};
     /** Until the whole answer. */
     Duration untilEnd {};
     /** Targets that had the request already. */
-    std::set<TargetStart> excluded;
+    std::set<TargetInstance> excluded;
 };
 
 /** Sums over the targets of a service that take new requests of this daemon's cell. */
-struct ServiceRoom
+struct ServiceCapacity
 {
     std::uint32_t slots = 0;
     std::uint32_t free = 0;
     /** Milliseconds for which a request holds a slot. */
-    double meanHold = 0;
+    double meanHoldTime = 0;
     /** Targets of the service, over all cells, that get nothing as their data centre is evacuated.
      */
     std::uint32_t evacuated = 0;
@@ -114,7 +114,7 @@
 {
 public:
     explicit TargetTable(DataCentreId own, const PolicySwitches &policies = {},
-                         const ColdGuard &cold = ColdGuard())
+                         const ColdTargetLimiter &cold = ColdTargetLimiter())
         : m_own(std::move(own)), m_policies(policies), m_cold(cold)
     {
     }
@@ -122,50 +122,50 @@
     /** Nothing that is believed of a former start of the target holds for a new one. */
     void put(const TargetEntry &entry, Instant now);
     void remove(const TargetId &target);
-    const BelievedTarget *find(const TargetId &target) const;
-    BelievedTarget *find(const TargetId &target);
+    const TrackedTarget *find(const TargetId &target) const;
+    TrackedTarget *find(const TargetId &target);
     /** Null too when the target has started again since. */
-    BelievedTarget *find(const TargetStart &start);
+    TrackedTarget *find(const TargetInstance &start);
     /** The cells that share the targets with this daemon's own. */
     void setCells(const CellWeights &cells);
     void setServices(const std::vector<ServiceRule> &services, Instant now);
     /** The daemons among which cold targets are divided. */
-    void setColdFleet(ColdFleet fleet);
+    void setColdTargetSenders(ColdTargetSenders fleet);
     /**
      * Targets of an evacuated data centre take nothing new. At the end they are cold: they may have
      * started again meanwhile, and an entry that says otherwise may be older.
      */
     void setEvacuated(const DataCentreId &dataCentre, bool isEvacuated, Instant now);
-    std::size_t countOf(const DataCentreId &dataCentre) const;
+    std::size_t countIn(const DataCentreId &dataCentre) const;
     std::size_t evacuatedCount() const;
     /** Some service bounds what its cold targets get. */
-    bool boundsCold() const { return m_cold.boundsAny(); }
+    bool limitsColdTargets() const { return m_cold.boundsAny(); }
     std::size_t coldCount() const;
     /** Lets targets that aren't cold any more take what they can. */
     void review(Instant now);
 
-    void started(const TargetStart &target, const WorkSize &work, Instant now);
-    void firstEvent(const TargetStart &target, const WorkSize &work, Duration took);
+    void requestStarted(const TargetInstance &target, const RequestSize &work, Instant now);
+    void firstEventReceived(const TargetInstance &target, const RequestSize &work, Duration took);
     /** `hadFirstEvent`: firstEvent() was called for this request. */
-    void ended(const TargetStart &target, const WorkSize &work, TargetOutcome outcome,
-               Duration held, bool hadFirstEvent, Instant now);
-    void setLoadOfMember(std::uint64_t member, const std::vector<TargetLoad> &loads);
+    void requestEnded(const TargetInstance &target, const RequestSize &work, TargetOutcome outcome,
+                      Duration held, bool hadFirstEvent, Instant now);
+    void setMemberLoad(std::uint64_t member, const std::vector<TargetLoad> &loads);
     std::vector<TargetLoad> ownLoad() const;
 
     /** The best target with room; null when there is none or it is better to wait for another. */
-    const BelievedTarget *choose(const TargetWish &wish, Instant now) const;
+    const TrackedTarget *choose(const TargetWish &wish, Instant now) const;
     /** Some target of the service takes requests and isn't among `excluded`. */
-    bool hasOther(const ServiceId &service, const std::set<TargetStart> &excluded) const;
+    bool hasOther(const ServiceId &service, const std::set<TargetInstance> &excluded) const;
     /** The service has targets, and all that could serve are in evacuated data centres. */
     bool isEvacuated(const ServiceId &service) const;
     /** Some target may take a request now, even one that is avoided. */
     bool hasRoom(const ServiceId &service, Instant now) const;
     /** Sums over the targets that aren't avoided. */
-    ServiceRoom room(const ServiceId &service, Instant now) const;
+    ServiceCapacity capacity(const ServiceId &service, Instant now) const;
     /** Expected time to the whole answer at an idle, usual target of the service. */
-    Duration expectedWhole(const ServiceId &service, const WorkSize &work) const;
+    Duration expectedDuration(const ServiceId &service, const RequestSize &work) const;
     /** Expected time to the first event at an idle, usual target of the service. */
-    Duration expectedFirstEvent(const ServiceId &service, const WorkSize &work) const;
+    Duration expectedTimeToFirstEvent(const ServiceId &service, const RequestSize &work) const;
 
 private:
     /** Usual values of a service's targets, for those that have no samples yet. */
@@ -179,9 +179,9 @@
     /** The targets of a service; the pointers are to entries of m_targets. */
     struct ServiceTargets
     {
-        std::vector<const BelievedTarget *> all;
+        std::vector<const TrackedTarget *> all;
         /** Those with slots for this daemon's cell. */
-        std::vector<const BelievedTarget *> ofCell;
+        std::vector<const TrackedTarget *> ofCell;
         std::uint32_t evacuated = 0;
         std::uint32_t cold = 0;
     };
@@ -190,10 +190,10 @@
     void divideCold();
     void divideAll();
     /** Neither leaves nor is in an evacuated data centre. */
-    bool takesWork(const BelievedTarget &target) const;
+    bool takesWork(const TrackedTarget &target) const;
     /** Slots of the target that this daemon's cell may use now. */
-    std::uint32_t freeSlots(const BelievedTarget &target, Instant now) const;
-    void noteCold(BelievedTarget &target, Instant until, Instant now) const;
+    std::uint32_t freeSlots(const TrackedTarget &target, Instant now) const;
+    void noteCold(TrackedTarget &target, Instant until, Instant now) const;
     const ServiceTargets &ofService(const ServiceId &service) const;
     UsualSpeed usualSpeed(const ServiceId &service) const;
     struct Forecast
@@ -205,25 +205,25 @@
     /** The best of the candidates, and whether it is better to wait for another. */
     struct Choice
     {
-        const BelievedTarget *target = nullptr;
+        const TrackedTarget *target = nullptr;
         /** Some candidate is known to be sound, though it may be full. */
         bool someIsSound = false;
     };
 
-    Choice chooseAmong(const std::vector<const BelievedTarget *> &candidates,
-                       const TargetWish &wish, bool ofOtherCells, Instant now) const;
-    Forecast forecast(const BelievedTarget &target, const WorkSize &work,
+    Choice chooseAmong(const std::vector<const TrackedTarget *> &candidates, const TargetWish &wish,
+                       bool ofOtherCells, Instant now) const;
+    Forecast forecast(const TrackedTarget &target, const RequestSize &work,
                       const UsualSpeed &usual) const;
-    double cost(const BelievedTarget &target, const Forecast &forecast) const;
-    void punish(BelievedTarget &target, TargetOutcome outcome, Instant now);
+    double cost(const TrackedTarget &target, const Forecast &forecast) const;
+    void punish(TrackedTarget &target, TargetOutcome outcome, Instant now);
 
     const DataCentreId m_own;
     const PolicySwitches m_policies;
-    ColdGuard m_cold;
+    ColdTargetLimiter m_cold;
     std::set<DataCentreId> m_evacuated;
     /** Some target is cold until then at least; nothing while none is. */
     std::optional<Instant> m_nextWarm;
-    std::map<TargetId, BelievedTarget> m_targets;
+    std::map<TargetId, TrackedTarget> m_targets;
     std::map<ServiceId, ServiceTargets> m_services;
     CellWeights m_cells;
     std::map<std::uint64_t, TargetId> m_numbers;
--- a/packages/dispatch/apricothook/dispatch/apricothook_unit_bucket.cpp
+++ b/packages/dispatch/apricothook/dispatch/apricothook_unit_bucket.cpp
@@ -27,13 +27,13 @@
     m_level = std::min(m_level, size());
 }
 
-double UnitBucket::needed(const LimitClaim &claim) const
+double UnitBucket::needed(const UnitDemand &claim) const
 {
     // A full bucket has enough for any request, or one above its size could never run.
-    return std::min(claim.partLeft * size() + claim.units, size());
+    return std::min(claim.reservedFraction * size() + claim.units, size());
 }
 
-bool UnitBucket::tryTake(const LimitClaim &claim, Instant now)
+bool UnitBucket::tryTake(const UnitDemand &claim, Instant now)
 {
     refill(now);
     if (m_level < needed(claim))
@@ -62,7 +62,7 @@
     return std::max(std::exchange(m_level, std::min(m_level, 0.0)), 0.0);
 }
 
-Duration UnitBucket::timeUntil(const LimitClaim &claim, Instant now)
+Duration UnitBucket::timeUntil(const UnitDemand &claim, Instant now)
 {
     refill(now);
     const double missing = needed(claim) - m_level;
--- a/packages/dispatch/apricothook/dispatch/apricothook_unit_bucket.hpp
+++ b/packages/dispatch/apricothook/dispatch/apricothook_unit_bucket.hpp
@@ -27,7 +27,7 @@
     /** Part of the fleet that the grantor reaches; the rest may have a grantor of its own. */
     void setPart(double part, Instant now);
     /** Takes the claim's units, if the bucket has them and what is to be left. */
-    bool tryTake(const LimitClaim &claim, Instant now);
+    bool tryTake(const UnitDemand &claim, Instant now);
     /** Takes up to `units`, but not from the lower half. */
     double takeAhead(double units, Instant now);
     /** Units that another grantor had left. */
@@ -35,14 +35,14 @@
     /** Takes all that is there. */
     double takeAll(Instant now);
     /** How long tryTake() would fail if nobody took anything meanwhile. */
-    Duration timeUntil(const LimitClaim &claim, Instant now);
+    Duration timeUntil(const UnitDemand &claim, Instant now);
 
     double level() const { return m_level; }
     double size() const { return m_budget.bucket * m_part; }
     double perSecond() const { return m_budget.perSecond * m_part; }
 
 private:
-    double needed(const LimitClaim &claim) const;
+    double needed(const UnitDemand &claim) const;
 
     CustomerBudget m_budget;
     double m_level = 0;
--- a/packages/dispatch/tests/apricothook_allowance_tests.cpp
+++ b/packages/dispatch/tests/apricothook_allowance_tests.cpp
@@ -1,9 +1,9 @@
 #include <apricothook/dispatch/apricothook_limit_reserve.hpp>
 #include <apricothook/dispatch/apricothook_policy_switches.hpp>
-#include <apricothook/dispatch/apricothook_retry_allowance.hpp>
+#include <apricothook/dispatch/apricothook_retry_budget_share.hpp>
 #include <apricothook/dispatch/apricothook_unit_bucket.hpp>
 
-#include <apricothook/testsupport/apricothook_hand_clock.hpp>
+#include <apricothook/testsupport/apricothook_manual_clock.hpp>
 
 #include <doctest/doctest.h>
 
@@ -38,7 +38,7 @@
     return clock.now() - std::chrono::hours(1);
 }
 
-int repeatsTaken(RetryAllowance &allowance, Instant now, std::size_t daemons)
+int repeatsTaken(RetryBudgetShare &allowance, Instant now, std::size_t daemons)
 {
     int taken = 0;
     while (allowance.tryTake(now, daemons).isGranted)
@@ -53,12 +53,12 @@
     // Callers see failures instead of a service that never recovers: when all targets fail, every
     // daemon would repeat every request. The sum over nine daemons keeps to the ratio and the
     // slack.
-    HandClock clock;
+    ManualClock clock;
     constexpr std::size_t Daemons = 9;
     constexpr int Requests = 100;
     double taken = 0;
     for (std::size_t daemon = 0; daemon < Daemons; ++daemon) {
-        RetryAllowance allowance(bounds(), longAgo(clock));
+        RetryBudgetShare allowance(bounds(), longAgo(clock));
         for (int i = 0; i < Requests; ++i)
             allowance.countRequest(clock.now());
         taken += repeatsTaken(allowance, clock.now(), Daemons);
@@ -69,8 +69,8 @@
 
 TEST_CASE("an allowance comes back when its window has passed")
 {
-    HandClock clock;
-    RetryAllowance allowance(bounds(), longAgo(clock));
+    ManualClock clock;
+    RetryBudgetShare allowance(bounds(), longAgo(clock));
     CHECK(repeatsTaken(allowance, clock.now(), 1) > 0);
     CHECK_FALSE(allowance.tryTake(clock.now(), 1).isGranted);
     clock.advance(std::chrono::seconds(11));
@@ -79,8 +79,8 @@
 
 TEST_CASE("a daemon that doesn't know the fleet's size repeats by its own requests alone")
 {
-    HandClock clock;
-    RetryAllowance allowance(bounds(), longAgo(clock));
+    ManualClock clock;
+    RetryBudgetShare allowance(bounds(), longAgo(clock));
     CHECK_FALSE(allowance.tryTake(clock.now(), std::nullopt).isGranted);
     for (int i = 0; i < 100; ++i)
         allowance.countRequest(clock.now());
@@ -93,8 +93,8 @@
 
 TEST_CASE("a process that has just started has no part of the slack, and all of it a window later")
 {
-    HandClock clock;
-    RetryAllowance allowance(bounds(), clock.now());
+    ManualClock clock;
+    RetryBudgetShare allowance(bounds(), clock.now());
     CHECK(repeatsTaken(allowance, clock.now(), 1) == 0);
     clock.advance(std::chrono::seconds(10));
     CHECK(repeatsTaken(allowance, clock.now(), 1) == 30);
@@ -131,7 +131,7 @@
  */
 SurgeOutcome surge(bool reserves)
 {
-    HandClock clock;
+    ManualClock clock;
     LimitReserve reserve;
     const CustomerRule rule = customer(10'000);
     UnitBucket bucket(budgetOf(rule, bounds()), clock.now());
@@ -140,8 +140,8 @@
     bucket.add(1e9, clock.now());
     SurgeOutcome outcome;
     const auto send = [&](const RouteRule &route, double units, ServedCount &count) {
-        reserve.noteUnits(rule.unit, route, units);
-        const double left = reserves ? reserve.partAbove(rule.unit, route) : 0;
+        reserve.recordUnits(rule.unit, route, units);
+        const double left = reserves ? reserve.reservedFraction(rule.unit, route) : 0;
         const bool admitted = bucket.tryTake({units, left}, clock.now());
         count.asked += 1;
         count.served += admitted ? 1 : 0;
@@ -176,12 +176,12 @@
     LimitReserve reserve;
     const RouteRule urgent = limitedRoute("urgent", 1);
     const RouteRule chat = limitedRoute("chat", 2);
-    reserve.noteUnits(LimitUnit::Requests, urgent, 1);
-    reserve.noteUnits(LimitUnit::Requests, chat, 1);
-    CHECK(reserve.partAbove(LimitUnit::Requests, urgent) == 0);
-    CHECK(reserve.partAbove(LimitUnit::Requests, chat) == doctest::Approx(0.1));
+    reserve.recordUnits(LimitUnit::Requests, urgent, 1);
+    reserve.recordUnits(LimitUnit::Requests, chat, 1);
+    CHECK(reserve.reservedFraction(LimitUnit::Requests, urgent) == 0);
+    CHECK(reserve.reservedFraction(LimitUnit::Requests, chat) == doctest::Approx(0.1));
     // The other unit has learned nothing of them.
-    CHECK(reserve.partAbove(LimitUnit::Tokens, chat) == 0);
+    CHECK(reserve.reservedFraction(LimitUnit::Tokens, chat) == 0);
 }
 
 TEST_CASE("policies are switched off by name, and an unknown name is told")
--- a/packages/dispatch/tests/apricothook_cold_targets_tests.cpp
+++ b/packages/dispatch/tests/apricothook_cold_targets_tests.cpp
@@ -26,7 +26,7 @@
 struct ColdBench : DispatchBench
 {
     explicit ColdBench(std::uint64_t self = 1)
-        : DispatchBench(ColdGuard(self, boundsOfColdTargets()))
+        : DispatchBench(ColdTargetLimiter(self, boundsOfColdTargets()))
     {
         ServiceRule rule;
         rule.name = Service;
@@ -37,7 +37,7 @@
     void coldTarget(const std::string &id, std::uint32_t slots, Duration coldFor = ColdTime)
     {
         TargetEntry entry = entryOf(id, slots);
-        entry.coldFor = coldFor;
+        entry.remainingColdTime = coldFor;
         targets.put(entry, clock.now());
     }
     /** Offers requests that end at once, one each millisecond. */
@@ -98,7 +98,7 @@
     std::size_t senders = 0;
     for (std::uint64_t member = 1; member <= 9; ++member) {
         ColdBench bench(member);
-        bench.targets.setColdFleet({{1, 2, 3, 4, 5, 6, 7, 8, 9}, ColdView::Main});
+        bench.targets.setColdTargetSenders({{1, 2, 3, 4, 5, 6, 7, 8, 9}, ColdView::Main});
         bench.coldTarget("a", 8);
         const std::size_t placed = bench.placedIn(milliseconds(100));
         CHECK((placed == 0 || placed == 11));
@@ -114,13 +114,13 @@
     // A target that comes back crashes again: each of thirty daemons that are cut off from the
     // others takes itself for the only one left, and for the target's sender.
     ColdBench bench;
-    bench.targets.setColdFleet({{1}, ColdView::Outside});
+    bench.targets.setColdTargetSenders({{1}, ColdView::Outside});
     bench.coldTarget("a", 8);
     CHECK(bench.placedIn(seconds(1)) == 0);
     // It knows which are cold, and uses the others.
     bench.target("b", 8);
     CHECK(bench.placedIn(seconds(1)) > 100);
-    bench.targets.setColdFleet({{1}, ColdView::Alone});
+    bench.targets.setColdTargetSenders({{1}, ColdView::Alone});
     CHECK(bench.placedIn(seconds(1)) == 0);
 }
 
@@ -137,7 +137,7 @@
 {
     DispatchBench bench;
     TargetEntry entry = bench.entryOf("a", 8);
-    entry.coldFor = ColdTime;
+    entry.remainingColdTime = ColdTime;
     bench.targets.put(entry, bench.clock.now());
     for (std::uint64_t id = 1; id <= 8; ++id)
         bench.offer(id);
@@ -151,10 +151,10 @@
     ColdBench bench;
     bench.target("a", 4);
     bench.targets.put(bench.entryOf("b", 4, "there"), bench.clock.now());
-    CHECK(bench.targets.room(Service, bench.clock.now()).slots == 8);
+    CHECK(bench.targets.capacity(Service, bench.clock.now()).slots == 8);
     bench.targets.setEvacuated(DataCentreId("there"), true, bench.clock.now());
-    CHECK(bench.targets.room(Service, bench.clock.now()).slots == 4);
-    CHECK(bench.targets.room(Service, bench.clock.now()).evacuated == 1);
+    CHECK(bench.targets.capacity(Service, bench.clock.now()).slots == 4);
+    CHECK(bench.targets.capacity(Service, bench.clock.now()).evacuated == 1);
     for (std::uint64_t id = 1; id <= 8; ++id)
         bench.offer(id);
     CHECK(bench.placements.targets == std::vector<std::string>(4, "a"));
@@ -195,7 +195,7 @@
     bench.offer(6);
     CHECK(bench.placements.refused == std::vector<std::uint64_t> {5, 6});
     CHECK(bench.placements.last.retryAfter >= seconds(4));
-    CHECK(bench.placements.last.room.evacuated == 1);
+    CHECK(bench.placements.last.capacity.evacuated == 1);
 }
 
 TEST_CASE("a target that is put while its data centre is evacuated gets nothing")
@@ -220,7 +220,7 @@
     std::size_t sent = 0;
     for (const std::uint64_t member : members) {
         ColdBench bench(member);
-        bench.targets.setColdFleet({members, ColdView::Doubtful});
+        bench.targets.setColdTargetSenders({members, ColdView::Doubtful});
         bench.target("a", 8);
         sent += bench.placedIn(seconds(1));
     }
@@ -228,7 +228,7 @@
     CHECK(sent >= 8);
     // Each of them serves its callers on some of the targets.
     ColdBench bench(7);
-    bench.targets.setColdFleet({members, ColdView::Doubtful});
+    bench.targets.setColdTargetSenders({members, ColdView::Doubtful});
     for (int target = 0; target < 90; ++target)
         bench.target("t" + std::to_string(target), 8);
     CHECK(bench.placedIn(seconds(1)) >= 5);
--- a/packages/dispatch/tests/apricothook_fleet_limits_tests.cpp
+++ b/packages/dispatch/tests/apricothook_customer_rate_limiter_tests.cpp
@@ -1,6 +1,6 @@
 #include <apricothook_emulated_limits.hpp>
 
-#include <apricothook/dispatch/apricothook_reach_meter.hpp>
+#include <apricothook/dispatch/apricothook_reachability_estimator.hpp>
 
 #include <doctest/doctest.h>
 
@@ -306,7 +306,7 @@
     // come in series, with a calm second or less between them. LIMIT_SEEDS plays more.
     double worst = 0;
     for (std::uint64_t seed = 1; seed <= seedsToPlay(); ++seed) {
-        RepeatableRandom draw(seed);
+        DeterministicRandom draw(seed);
         const std::size_t daemons = 2 + draw.next() % 39;
         EmulatedLimits fleet(daemons, {customer("carrier", Rate), customer("shop", 20'000)},
                              bounds(), seed);
--- a/packages/dispatch/tests/apricothook_dispatch_bench.hpp
+++ b/packages/dispatch/tests/apricothook_dispatch_bench.hpp
@@ -2,7 +2,7 @@
 
 #include <apricothook/dispatch/apricothook_dispatcher.hpp>
 
-#include <apricothook/testsupport/apricothook_hand_clock.hpp>
+#include <apricothook/testsupport/apricothook_manual_clock.hpp>
 
 #include <string>
 #include <vector>
@@ -20,7 +20,7 @@
         placed.push_back(exchange.value());
         targets.push_back(target.id.text());
     }
-    void onRefused(ExchangeId exchange, const RefusalFacts &facts) override
+    void onRefused(ExchangeId exchange, const RefusalDetails &facts) override
     {
         refused.push_back(exchange.value());
         last = facts;
@@ -29,18 +29,18 @@
     std::vector<std::uint64_t> placed;
     std::vector<std::string> targets;
     std::vector<std::uint64_t> refused;
-    RefusalFacts last;
+    RefusalDetails last;
 };
 
 /** A daemon's decisions about one service, without input and output. */
 struct DispatchBench
 {
-    explicit DispatchBench(const ColdGuard &cold = ColdGuard())
+    explicit DispatchBench(const ColdTargetLimiter &cold = ColdTargetLimiter())
         : targets(DataCentreId("here"), {}, cold)
     {
     }
 
-    HandClock clock;
+    ManualClock clock;
     TargetTable targets;
     Placements placements;
     Dispatcher dispatcher {targets, placements};
@@ -60,9 +60,9 @@
     {
         targets.put(entryOf(id, slots), clock.now());
     }
-    WaitingWork work(std::uint64_t id, std::uint8_t tier = 1) const
+    QueuedRequest work(std::uint64_t id, std::uint8_t tier = 1) const
     {
-        WaitingWork work;
+        QueuedRequest work;
         work.exchange = ExchangeId(id);
         work.service = Service;
         work.rank = {Tier(1), Tier(tier)};
@@ -74,12 +74,12 @@
     }
     void offer(std::uint64_t id, std::uint8_t tier = 1)
     {
-        dispatcher.offer(work(id, tier), clock.now());
+        dispatcher.submit(work(id, tier), clock.now());
     }
     void end(const std::string &target)
     {
-        targets.ended({TargetId(target)}, {1000, 10, true}, TargetOutcome::Served,
-                      std::chrono::milliseconds(300), false, clock.now());
+        targets.requestEnded({TargetId(target)}, {1000, 10, true}, TargetOutcome::Served,
+                             std::chrono::milliseconds(300), false, clock.now());
         dispatcher.review(clock.now());
     }
     /** Two samples, so that the target's speed is known. */
--- a/packages/dispatch/tests/apricothook_dispatcher_tests.cpp
+++ b/packages/dispatch/tests/apricothook_dispatcher_tests.cpp
@@ -34,14 +34,14 @@
 {
     DispatchBench bench;
     bench.target("t", 2);
-    bench.targets.setLoadOfMember(7, {{targetNumber({TargetId("t")}), 2}});
+    bench.targets.setMemberLoad(7, {{targetHash({TargetId("t")}), 2}});
     bench.offer(1);
     CHECK(bench.placements.placed.empty());
-    bench.targets.setLoadOfMember(7, {{targetNumber({TargetId("t")}), 1}});
+    bench.targets.setMemberLoad(7, {{targetHash({TargetId("t")}), 1}});
     bench.dispatcher.review(bench.clock.now());
     CHECK(bench.placements.placed.size() == 1);
     // A member that fell silent leaves no load behind.
-    bench.targets.setLoadOfMember(7, {});
+    bench.targets.setMemberLoad(7, {});
     bench.offer(2);
     CHECK(bench.placements.placed.size() == 2);
 }
@@ -50,7 +50,7 @@
 {
     DispatchBench bench;
     bench.target("t", 1);
-    bench.dispatcher.setWaitingOfMember(7, {{serviceNumber(Service), {Tier(1), Tier(1)}, 1}});
+    bench.dispatcher.setMemberQueueLengths(7, {{serviceHash(Service), {Tier(1), Tier(1)}, 1}});
     bench.offer(1, 2);
     CHECK(bench.placements.placed.empty());
     bench.offer(2, 1);
@@ -66,8 +66,8 @@
     for (std::uint64_t id = 1; id <= 5; ++id)
         bench.offer(id);
     CHECK(bench.placements.refused.empty());
-    REQUIRE(bench.dispatcher.nextRefusal());
-    CHECK(*bench.dispatcher.nextRefusal() <= bench.clock.now() + std::chrono::milliseconds(400));
+    REQUIRE(bench.dispatcher.nextTimeout());
+    CHECK(*bench.dispatcher.nextTimeout() <= bench.clock.now() + std::chrono::milliseconds(400));
     bench.clock.advance(std::chrono::milliseconds(400));
     bench.dispatcher.review(bench.clock.now());
     CHECK(bench.placements.refused == std::vector<std::uint64_t> {5});
@@ -80,7 +80,7 @@
     DispatchBench bench;
     bench.target("t", 1);
     bench.offer(1);
-    bench.dispatcher.setWaitingOfMember(7, {{serviceNumber(Service), {Tier(1), Tier(1)}, 50}});
+    bench.dispatcher.setMemberQueueLengths(7, {{serviceHash(Service), {Tier(1), Tier(1)}, 50}});
     bench.offer(2);
     CHECK(bench.placements.refused == std::vector<std::uint64_t> {2});
     CHECK(bench.placements.last.ahead == 50);
@@ -96,9 +96,9 @@
     bench.targets.put(draining, bench.clock.now());
     bench.offer(1);
     CHECK(bench.placements.targets == std::vector<std::string> {"b"});
-    WaitingWork tried = bench.work(2);
+    QueuedRequest tried = bench.work(2);
     tried.excluded = {{TargetId("b")}};
-    bench.dispatcher.offer(tried, bench.clock.now());
+    bench.dispatcher.submit(tried, bench.clock.now());
     CHECK(bench.placements.refused == std::vector<std::uint64_t> {2});
 }
 
@@ -107,12 +107,12 @@
     DispatchBench bench;
     bench.target("a", 4);
     bench.target("b", 4);
-    const WorkSize size {1000, 10, true};
+    const RequestSize size {1000, 10, true};
     Duration before {};
     for (int i = 0; i < 3; ++i) {
-        bench.targets.started({TargetId("a")}, size, bench.clock.now());
-        bench.targets.ended({TargetId("a")}, size, TargetOutcome::Unreachable, Duration(1000),
-                            false, bench.clock.now());
+        bench.targets.requestStarted({TargetId("a")}, size, bench.clock.now());
+        bench.targets.requestEnded({TargetId("a")}, size, TargetOutcome::Unreachable,
+                                   Duration(1000), false, bench.clock.now());
         const Duration avoided
             = bench.targets.find(TargetId("a"))->avoidedUntil - bench.clock.now();
         CHECK(avoided > before);
@@ -125,8 +125,8 @@
     bench.offer(5);
     CHECK(bench.placements.targets.size() == 4);
     // With no sound target left it is better than a refusal.
-    bench.targets.ended({TargetId("b")}, size, TargetOutcome::Unreachable, Duration(1000), false,
-                        bench.clock.now());
+    bench.targets.requestEnded({TargetId("b")}, size, TargetOutcome::Unreachable, Duration(1000),
+                               false, bench.clock.now());
     bench.dispatcher.review(bench.clock.now());
     CHECK(bench.placements.targets.size() == 5);
 }
@@ -140,15 +140,15 @@
     bench.target("slow", 4);
     bench.teach("fast", std::chrono::milliseconds(10));
     bench.teach("slow", std::chrono::milliseconds(60));
-    WaitingWork longWork = bench.work(1);
+    QueuedRequest longWork = bench.work(1);
     longWork.size.events = 400;
-    bench.dispatcher.offer(longWork, bench.clock.now());
+    bench.dispatcher.submit(longWork, bench.clock.now());
     CHECK(bench.placements.targets == std::vector<std::string> {"fast"});
 
     SUBCASE("the next one waits for it while short work goes to the slow one")
     {
         longWork.exchange = ExchangeId(2);
-        bench.dispatcher.offer(longWork, bench.clock.now());
+        bench.dispatcher.submit(longWork, bench.clock.now());
         bench.offer(3);
         CHECK(bench.placements.targets == std::vector<std::string> {"fast", "slow"});
         CHECK(bench.placements.placed.back() == 3);
@@ -161,9 +161,10 @@
     // twentieth of the time, and shutting them out would gain nothing.
     RouteUrgency urgency;
     for (int i = 0; i < 50; ++i) {
-        urgency.noteHold(Service, ClassId("report"), Tier(1), std::chrono::milliseconds(1900));
-        urgency.noteHold(Service, ClassId("brief"), Tier(2), std::chrono::milliseconds(1400));
-        urgency.noteHold(Service, ClassId("check"), Tier(3), std::chrono::milliseconds(130));
+        urgency.recordHoldTime(Service, ClassId("report"), Tier(1),
+                               std::chrono::milliseconds(1900));
+        urgency.recordHoldTime(Service, ClassId("brief"), Tier(2), std::chrono::milliseconds(1400));
+        urgency.recordHoldTime(Service, ClassId("check"), Tier(3), std::chrono::milliseconds(130));
     }
     const Tier report = urgency.tierOf(Service, ClassId("report"), Tier(1));
     const Tier brief = urgency.tierOf(Service, ClassId("brief"), Tier(2));
@@ -221,27 +222,27 @@
     // and the late end of a request that it had, don't count at the new one.
     DispatchBench bench;
     bench.target("a", 1);
-    const WorkSize size {1000, 10, true};
-    const TargetStart former {TargetId("a")};
+    const RequestSize size {1000, 10, true};
+    const TargetInstance former {TargetId("a")};
     bench.offer(1);
     for (int failure = 0; failure < 3; ++failure)
-        bench.targets.ended(former, size, TargetOutcome::Unreachable, Duration(1000), false,
-                            bench.clock.now());
-    bench.targets.setLoadOfMember(7, {{targetNumber(former), 1}});
+        bench.targets.requestEnded(former, size, TargetOutcome::Unreachable, Duration(1000), false,
+                                   bench.clock.now());
+    bench.targets.setMemberLoad(7, {{targetHash(former), 1}});
     bench.offer(2);
     REQUIRE(bench.placements.refused == std::vector<std::uint64_t> {2});
 
     TargetEntry again = bench.targets.find(TargetId("a"))->entry;
     again.startedAt = 1000;
     bench.targets.put(again, bench.clock.now());
-    const BelievedTarget &target = *bench.targets.find(TargetId("a"));
+    const TrackedTarget &target = *bench.targets.find(TargetId("a"));
     CHECK(target.load() == 0);
     CHECK(target.avoidedUntil <= bench.clock.now());
     CHECK_FALSE(target.speed.failures.value());
     bench.offer(3);
     REQUIRE(bench.placements.placed == std::vector<std::uint64_t> {1, 3});
-    bench.targets.ended(former, size, TargetOutcome::Unreachable, Duration(1000), false,
-                        bench.clock.now());
+    bench.targets.requestEnded(former, size, TargetOutcome::Unreachable, Duration(1000), false,
+                               bench.clock.now());
     CHECK(target.ownRequests == 1);
     CHECK(target.failuresInRow == 0);
 }
@@ -250,12 +251,12 @@
 {
     DispatchBench bench;
     bench.target("a", 1);
-    WaitingWork tried = bench.work(1);
+    QueuedRequest tried = bench.work(1);
     tried.excluded = {{TargetId("a")}};
     TargetEntry again = bench.targets.find(TargetId("a"))->entry;
     again.startedAt = 1000;
     bench.targets.put(again, bench.clock.now());
-    bench.dispatcher.offer(tried, bench.clock.now());
+    bench.dispatcher.submit(tried, bench.clock.now());
     CHECK(bench.placements.placed == std::vector<std::uint64_t> {1});
 }
 
@@ -289,8 +290,8 @@
         std::erase_if(running, [&](const auto &run) {
             if (run.first > bench.clock.now())
                 return false;
-            bench.targets.ended({TargetId("t")}, {1000, 10, true}, TargetOutcome::Served,
-                                std::chrono::milliseconds(300), false, bench.clock.now());
+            bench.targets.requestEnded({TargetId("t")}, {1000, 10, true}, TargetOutcome::Served,
+                                       std::chrono::milliseconds(300), false, bench.clock.now());
             return true;
         });
     };
@@ -306,15 +307,15 @@
     for (int request = 0; request < Requests; ++request) {
         const int length = Lengths.at(static_cast<std::size_t>(request * 7 % 10));
         lengthOf.push_back(length);
-        sizes.note(route, length);
+        sizes.recordSize(route, length);
         outcome.longest += length == Lengths.back() ? 1 : 0;
-        WaitingWork work = bench.work(static_cast<std::uint64_t>(request));
+        QueuedRequest work = bench.work(static_cast<std::uint64_t>(request));
         const int level = bySize ? sizes.level(route, length, request / 10 % 4 / 4.0) : 0;
         work.rank.route = Tier(static_cast<std::uint8_t>(3 + level));
         finishUntilNow();
         bench.dispatcher.review(bench.clock.now());
         startPlaced();
-        bench.dispatcher.offer(work, bench.clock.now());
+        bench.dispatcher.submit(work, bench.clock.now());
         startPlaced();
         bench.clock.advance(pause);
     }
@@ -348,7 +349,7 @@
     SizeOrder sizes;
     const ClassId route("r");
     CHECK(sizes.level(route, 100, 1) == 0);
-    sizes.note(route, 100);
+    sizes.recordSize(route, 100);
     CHECK(sizes.level(route, 100, 1) == 0);
     CHECK(sizes.level(route, 150, 1) == 1);
     CHECK(sizes.level(route, 100'000, 1) == SizeOrder::MostLevels);
@@ -397,9 +398,9 @@
     CHECK(bench.placements.last.expectedWait < std::chrono::seconds(1));
     CHECK(bench.placements.last.retryAfter == Dispatcher::LongestRetryAfter);
 
-    WaitingWork brief = bench.work(20);
+    QueuedRequest brief = bench.work(20);
     brief.deadline = bench.clock.now() + std::chrono::milliseconds(1500);
-    bench.dispatcher.offer(brief, bench.clock.now());
+    bench.dispatcher.submit(brief, bench.clock.now());
     REQUIRE(bench.placements.refused.back() == 20);
     CHECK(bench.placements.last.retryAfter <= std::chrono::milliseconds(500));
     CHECK(bench.placements.last.retryAfter > std::chrono::milliseconds(499));
@@ -410,9 +411,9 @@
     // The caller is served as soon as the daemon knows a target: after a start of all daemons that
     // takes some hundred milliseconds, not seconds.
     DispatchBench bench;
-    WaitingWork work = bench.work(1);
+    QueuedRequest work = bench.work(1);
     work.objective = std::chrono::milliseconds(10);
-    bench.dispatcher.offer(work, bench.clock.now());
+    bench.dispatcher.submit(work, bench.clock.now());
     REQUIRE(bench.placements.refused == std::vector<std::uint64_t> {1});
     CHECK(bench.placements.last.retryAfter <= std::chrono::milliseconds(500));
 }
--- a/packages/dispatch/tests/apricothook_emulated_limits.cpp
+++ b/packages/dispatch/tests/apricothook_emulated_limits.cpp
@@ -1,6 +1,6 @@
 #include <apricothook_emulated_limits.hpp>
 
-#include <apricothook/dispatch/apricothook_reach_meter.hpp>
+#include <apricothook/dispatch/apricothook_reachability_estimator.hpp>
 
 #include <algorithm>
 #include <cmath>
@@ -48,7 +48,7 @@
     {
         fleet.post(index, to, message);
     }
-    void onLimitDecided(ExchangeId exchange, const LimitVerdict &verdict) override
+    void onLimitDecided(ExchangeId exchange, const LimitDecision &verdict) override
     {
         fleet.decided(exchange.value(), verdict);
     }
@@ -62,8 +62,8 @@
 
     EmulatedLimits &fleet;
     std::size_t index;
-    FleetLimits limits;
-    ReachMeter reach;
+    CustomerRateLimiter limits;
+    ReachabilityEstimator reach;
     Instant started {};
     Instant news {};
     Instant ticked {};
@@ -177,7 +177,7 @@
     std::erase_if(node.heard,
                   [this](const auto &entry) { return now() - entry.second > KnownTime; });
     const Duration age = now() - node.started;
-    KnownFleet fleet;
+    FleetMembership fleet;
     fleet.known = node.heard.size() + 1;
     const std::size_t seeds = std::min<std::size_t>(m_nodes.size(), Seeds);
     std::size_t heardSeeds = daemon < seeds ? 1 : 0;
@@ -196,7 +196,7 @@
         if (now() - heard <= network.silence)
             fleet.members.push_back({peerOf(other), 1, false});
         if (!node.limits.isCandidate()
-            || random.next() % node.heard.size() >= ReachMeter::ProbesOfRound)
+            || random.next() % node.heard.size() >= ReachabilityEstimator::ProbesPerRound)
             continue;
         const std::uint64_t probe = random.next();
         node.reach.sent(probe, now());
@@ -205,8 +205,9 @@
             && chance() >= 2 * network.lost)
             node.reach.answered(probe);
     }
-    node.limits.setPart(
-        limitPartOf(node.reach.reach(node.heard.size(), node.heard.size() + 1, now())), now());
+    node.limits.setReachableFraction(limitFractionOf(node.reach.reachableFraction(
+                                         node.heard.size(), node.heard.size() + 1, now())),
+                                     now());
     node.limits.setFleet(fleet, now());
 }
 
@@ -249,7 +250,7 @@
         return;
     // The exchange tells whose it is when its verdict comes.
     const ExchangeId exchange(++m_posted * m_customers.size() + customer);
-    const std::optional<LimitVerdict> verdict
+    const std::optional<LimitDecision> verdict
         = m_nodes[at]->limits.take(exchange, m_customers[customer], {units, 0}, now());
     if (verdict)
         decided(exchange.value(), *verdict);
@@ -257,7 +258,7 @@
         ++counts.waited;
 }
 
-void EmulatedLimits::decided(std::size_t exchange, const LimitVerdict &verdict)
+void EmulatedLimits::decided(std::size_t exchange, const LimitDecision &verdict)
 {
     const std::size_t customer = exchange % m_customers.size();
     LimitCounts &counts = m_counts[customer];
@@ -267,20 +268,20 @@
         return;
     }
     ++counts.admitted;
-    counts.admittedUnits += verdict.claim.units;
-    m_admitted[customer].push_back({now(), verdict.claim.units});
+    counts.admittedUnits += verdict.demand.units;
+    m_admitted[customer].push_back({now(), verdict.demand.units});
 }
 
 std::size_t EmulatedLimits::grantors(std::size_t customer) const
 {
-    const std::uint64_t number = customerNumber(m_customers[customer].name);
+    const std::uint64_t number = customerHash(m_customers[customer].name);
     return static_cast<std::size_t>(std::ranges::count_if(
         m_nodes, [number](const auto &node) { return node->grants.contains(number); }));
 }
 
 std::optional<std::size_t> EmulatedLimits::grantor(std::size_t customer) const
 {
-    const std::uint64_t number = customerNumber(m_customers[customer].name);
+    const std::uint64_t number = customerHash(m_customers[customer].name);
     const auto found = std::ranges::find_if(
         m_nodes, [number](const auto &node) { return node->grants.contains(number); });
     if (found == m_nodes.end())
--- a/packages/dispatch/tests/apricothook_emulated_limits.hpp
+++ b/packages/dispatch/tests/apricothook_emulated_limits.hpp
@@ -1,8 +1,8 @@
 #pragma once
 
-#include <apricothook/dispatch/apricothook_fleet_limits.hpp>
-#include <apricothook/testsupport/apricothook_hand_clock.hpp>
-#include <apricothook/testsupport/apricothook_repeatable_random.hpp>
+#include <apricothook/dispatch/apricothook_customer_rate_limiter.hpp>
+#include <apricothook/testsupport/apricothook_deterministic_random.hpp>
+#include <apricothook/testsupport/apricothook_manual_clock.hpp>
 
 #include <functional>
 #include <memory>
@@ -70,9 +70,9 @@
     const LimitCounts &counts(std::size_t customer) const { return m_counts[customer]; }
     std::size_t size() const { return m_nodes.size(); }
 
-    HandClock clock;
+    ManualClock clock;
     LimitNetwork network;
-    RepeatableRandom random;
+    DeterministicRandom random;
 
 private:
     struct Node;
@@ -97,7 +97,7 @@
     void post(std::size_t from, const Endpoint &to, const LimitMessage &message);
     void deliver();
     void tellFleet(std::size_t daemon);
-    void decided(std::size_t customer, const LimitVerdict &verdict);
+    void decided(std::size_t customer, const LimitDecision &verdict);
     bool reaches(std::size_t from, std::size_t to) const;
     double chance();
 
--- a/packages/eventloop/apricothook/eventloop/apricothook_event_loop.cpp
+++ b/packages/eventloop/apricothook/eventloop/apricothook_event_loop.cpp
@@ -89,7 +89,7 @@
 
 bool EventLoop::post(std::function<void()> action)
 {
-    if (!m_posted.tryPut(std::move(action)))
+    if (!m_posted.tryPush(std::move(action)))
         return false;
     m_hasPosted = true;
     wake();
@@ -146,7 +146,7 @@
 {
     if (!m_hasPosted.exchange(false))
         return;
-    while (const std::optional<std::function<void()>> action = m_posted.tryTake())
+    while (const std::optional<std::function<void()>> action = m_posted.tryPop())
         (*action)();
 }
 
--- a/packages/eventloop/apricothook/eventloop/apricothook_event_loop.hpp
+++ b/packages/eventloop/apricothook/eventloop/apricothook_event_loop.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <apricothook/model/apricothook_time.hpp>
-#include <apricothook/ports/apricothook_bounded_ring.hpp>
+#include <apricothook/ports/apricothook_bounded_queue.hpp>
 
 #include <atomic>
 #include <cstdint>
@@ -88,7 +88,7 @@
     std::unordered_map<int, DescriptorEvents *> m_watched;
     std::vector<std::function<void()>> m_deferred;
     std::function<void()> m_wakeAction;
-    BoundedRing<std::function<void()>> m_posted {PostedCapacity};
+    BoundedQueue<std::function<void()>> m_posted {PostedCapacity};
 };
 
 } // namespace Apricothook
--- a/packages/eventloop/apricothook/eventloop/apricothook_listener.hpp
+++ b/packages/eventloop/apricothook/eventloop/apricothook_listener.hpp
@@ -2,7 +2,7 @@
 
 #include <apricothook/eventloop/apricothook_event_loop.hpp>
 #include <apricothook/model/apricothook_endpoint.hpp>
-#include <apricothook/model/apricothook_failure.hpp>
+#include <apricothook/model/apricothook_result.hpp>
 
 #include <functional>
 #include <memory>
--- a/packages/eventloop/apricothook/eventloop/apricothook_stream_socket.cpp
+++ b/packages/eventloop/apricothook/eventloop/apricothook_stream_socket.cpp
@@ -70,7 +70,7 @@
     // Told later, as the owner isn't ready for calls while it makes the socket.
     m_loop.defer([this, alive = std::weak_ptr(m_alive)] {
         if (!alive.expired())
-            m_events.onEnd(SocketEnd::Broken);
+            m_events.onEnd(CloseReason::Failed);
     });
 }
 
@@ -119,7 +119,7 @@
     m_loop.setInterest(m_descriptor, m_reading && !m_connecting, m_connecting || unsentBytes() > 0);
 }
 
-void StreamSocket::finishSending()
+void StreamSocket::shutdownSend()
 {
     m_finishing = true;
     shutDownIfSent();
@@ -147,7 +147,7 @@
     release();
 }
 
-void StreamSocket::end(SocketEnd how)
+void StreamSocket::end(CloseReason how)
 {
     release();
     m_events.onEnd(how);
@@ -167,7 +167,7 @@
         if (got < 0 && isTemporary(errno))
             return;
         if (got <= 0) {
-            end(got == 0 ? SocketEnd::Finished : SocketEnd::Broken);
+            end(got == 0 ? CloseReason::PeerClosed : CloseReason::Failed);
             return;
         }
         more = static_cast<std::size_t>(got) == buffer.size();
@@ -197,7 +197,7 @@
     socklen_t size = sizeof error;
     getsockopt(m_descriptor, SOL_SOCKET, SO_ERROR, &error, &size);
     if (error != 0) {
-        end(SocketEnd::Broken);
+        end(CloseReason::Failed);
         return;
     }
     m_connecting = false;
--- a/packages/eventloop/apricothook/eventloop/apricothook_stream_socket.hpp
+++ b/packages/eventloop/apricothook/eventloop/apricothook_stream_socket.hpp
@@ -10,9 +10,9 @@
 namespace Apricothook {
 
 /** How a connection ended. */
-enum class SocketEnd {
-    Finished, ///< The other side closed it in order; all that it sent has been read.
-    Broken,   ///< Reset, timed out, or never established.
+enum class CloseReason {
+    PeerClosed, ///< The other side closed it in order; all that it sent has been read.
+    Failed,     ///< Reset, timed out, or never established.
 };
 
 /** Is told what happens on a connection. May destroy the socket in any call. */
@@ -23,7 +23,7 @@
     virtual void onConnected() { }
     virtual void onData(std::string_view bytes) = 0;
     /** The socket is closed already. */
-    virtual void onEnd(SocketEnd end) = 0;
+    virtual void onEnd(CloseReason end) = 0;
     /** All that was to be sent is with the kernel. */
     virtual void onDrained() { }
 };
@@ -56,7 +56,7 @@
     std::size_t unsentBytes() const { return m_unsent.size() - m_sentOfUnsent; }
     bool isOpen() const { return m_descriptor >= 0; }
     /** Tells the other side that nothing more will come, once all is sent; reading goes on. */
-    void finishSending();
+    void shutdownSend();
     /** Sends what is left if the kernel takes it, then closes in order. */
     void close();
     /** Closes with a reset: an answer without a length must not look complete. */
@@ -69,7 +69,7 @@
     void onWritable() override;
     void finishConnect();
     void flush();
-    void end(SocketEnd how);
+    void end(CloseReason how);
     void release();
     void updateInterest();
     void shutDownIfSent();
--- a/packages/eventloop/tests/apricothook_event_loop_tests.cpp
+++ b/packages/eventloop/tests/apricothook_event_loop_tests.cpp
@@ -1,6 +1,6 @@
 #include <apricothook/eventloop/apricothook_event_loop.hpp>
 
-#include <apricothook/testsupport/apricothook_hand_clock.hpp>
+#include <apricothook/testsupport/apricothook_manual_clock.hpp>
 
 #include <doctest/doctest.h>
 
@@ -15,7 +15,7 @@
 
 struct Bench
 {
-    HandClock clock;
+    ManualClock clock;
     EventLoop loop {clock};
     std::string order;
 
--- a/packages/fleetview/apricothook/fleetview/apricothook_cell_report.hpp
+++ b/packages/fleetview/apricothook/fleetview/apricothook_cell_load_report.hpp
@@ -10,7 +10,7 @@
 /** A target's running requests at the sender. */
 struct ReportedLoad
 {
-    std::uint64_t target = 0; ///< targetNumber() of the start.
+    std::uint64_t target = 0; ///< targetHash() of the start.
     std::uint32_t running = 0;
 
     template <typename Archive, typename Self>
@@ -24,7 +24,7 @@
 /** Requests of one rank that wait at the sender. */
 struct ReportedWaiting
 {
-    std::uint64_t service = 0; ///< serviceNumber() of the name.
+    std::uint64_t service = 0; ///< serviceHash() of the name.
     Tier customerTier;
     Tier routeTier;
     std::uint32_t waiting = 0;
@@ -41,9 +41,9 @@
  * What a daemon does now, told to its cell. Loads and waiting requests are always whole, so a lost
  * report costs only time.
  */
-struct CellReport
+struct CellLoadReport
 {
-    /** memberNumber() of the sender. */
+    /** memberHash() of the sender. */
     std::uint64_t member = 0;
     Incarnation process;
     /** Grows with each report of the process; late ones are dropped by it. */
@@ -56,10 +56,10 @@
     {
         archive(self.member, self.process, self.sequence, self.loads, self.waiting);
     }
-    auto operator<=>(const CellReport &) const = default;
+    auto operator<=>(const CellLoadReport &) const = default;
 };
 
 /** A short name of a member for messages between daemons. */
-std::uint64_t memberNumber(const MemberId &member);
+std::uint64_t memberHash(const MemberId &member);
 
 } // namespace Apricothook
--- a/packages/fleetview/apricothook/fleetview/apricothook_cold_outlook.hpp
+++ b/packages/fleetview/apricothook/fleetview/apricothook_cold_view_tracker.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <apricothook/dispatch/apricothook_cold_guard.hpp>
+#include <apricothook/dispatch/apricothook_cold_target_limiter.hpp>
 #include <apricothook/fleetview/apricothook_fleet_directory.hpp>
 
 namespace Apricothook {
@@ -26,13 +26,13 @@
  * When parts of a fleet find each other again, names come one after the other, and one daemon after
  * the other would take itself for a target's sender. While new names come none does.
  */
-class ColdOutlook
+class ColdViewTracker
 {
 public:
     /** What was missed has come by then, from peers or by own reading. */
     static constexpr std::chrono::milliseconds CatchUpTime {2000};
     /** Between two reviews this daemon has stood still. */
-    static constexpr std::chrono::milliseconds StandstillTime {1000};
+    static constexpr std::chrono::milliseconds PauseThreshold {1000};
     /** After a new name the senders stay as they are for as long as any bound's window lasts. */
     static constexpr std::chrono::milliseconds NameTime {1000};
     /** What a target writes has come by then, to one that reads at the source and to others. */
@@ -40,14 +40,14 @@
     static constexpr std::chrono::milliseconds OthersReadingTime {1500};
 
     /** `own`: where this daemon receives datagrams; `seeds` are such addresses of others. */
-    ColdOutlook(const FleetDirectory &directory, std::vector<Endpoint> seeds, Endpoint own,
-                Duration entryPause);
+    ColdViewTracker(const FleetDirectory &directory, std::vector<Endpoint> seeds, Endpoint own,
+                    Duration entryPause);
 
     /** To be called some times a second. */
-    ColdFleet review(const ItemReach &items, Instant now);
+    ColdTargetSenders review(const ItemReach &items, Instant now);
     /** It has just started: reading at the source itself, it knows sooner which targets are cold.
      */
-    bool hasOldEntries(bool ownReaches, Instant now) const;
+    bool mayHaveStaleEntries(bool ownReaches, Instant now) const;
 
 private:
     ColdView view(const ItemReach &items, Instant now);
--- a/packages/fleetview/apricothook/fleetview/apricothook_fleet_directory.cpp
+++ b/packages/fleetview/apricothook/fleetview/apricothook_fleet_directory.cpp
@@ -1,6 +1,6 @@
 #include <apricothook/fleetview/apricothook_fleet_directory.hpp>
 
-#include <apricothook/fleetview/apricothook_cell_report.hpp>
+#include <apricothook/fleetview/apricothook_cell_load_report.hpp>
 #include <apricothook/model/apricothook_hashing.hpp>
 
 #include <algorithm>
@@ -21,10 +21,10 @@
 }
 
 /** Small VMs have the least processor time and bandwidth to spare for the others. */
-bool readsBefore(const MemberBrief &one, const MemberBrief &other)
+bool readsBefore(const MemberInfo &one, const MemberInfo &other)
 {
-    return std::tuple(other.capacity, memberNumber(one.member))
-        < std::tuple(one.capacity, memberNumber(other.member));
+    return std::tuple(other.capacity, memberHash(one.member))
+        < std::tuple(one.capacity, memberHash(other.member));
 }
 
 std::uint32_t millisecondsOf(Duration duration)
@@ -48,7 +48,7 @@
         : static_cast<std::uint32_t>(hashOf(member.text()) >> (HashBits - cellBits));
 }
 
-void FleetDirectory::take(const MemberBrief &brief, Instant now)
+void FleetDirectory::update(const MemberInfo &brief, Instant now)
 {
     if (brief.member == m_self)
         return;
@@ -56,19 +56,19 @@
     const auto known = m_members.find(brief.member);
     if (known != m_members.end() && known->second.heard >= heard)
         return;
-    if (known == m_members.end() || known->second.brief.process != brief.process)
+    if (known == m_members.end() || known->second.info.process != brief.process)
         m_news = now;
     m_members[brief.member] = {brief, heard, cellOf(brief.member)};
 }
 
-bool FleetDirectory::knowsFleet(const std::vector<Endpoint> &seeds, const Endpoint &own,
-                                Instant now) const
+bool FleetDirectory::hasDiscoveredFleet(const std::vector<Endpoint> &seeds, const Endpoint &own,
+                                        Instant now) const
 {
     if (!m_started)
         return false;
     const auto isHeard = [&](const Endpoint &seed) {
         return seed == own || std::ranges::any_of(m_members, [&seed](const auto &entry) {
-                   return entry.second.brief.beaconAddress == seed;
+                   return entry.second.info.beaconAddress == seed;
                });
     };
     const Duration age = now - *m_started;
@@ -79,13 +79,13 @@
     return age > LongestLearning || (age > QuietTime && isQuiet);
 }
 
-bool FleetDirectory::hearsMostSeeds(const std::vector<Endpoint> &seeds, const Endpoint &own,
-                                    Instant now) const
+bool FleetDirectory::reachesSeedMajority(const std::vector<Endpoint> &seeds, const Endpoint &own,
+                                         Instant now) const
 {
     const auto isHeard = [&](const Endpoint &seed) {
         return seed == own || std::ranges::any_of(m_members, [&](const auto &entry) {
                    const KnownMember &member = entry.second;
-                   return member.brief.beaconAddress == seed && !member.brief.isLeaving
+                   return member.info.beaconAddress == seed && !member.info.isLeaving
                        && isLive(member, now);
                });
     };
@@ -109,7 +109,7 @@
     return daemons <= cells * LargestCell && (cells == 1 || daemons > fewest);
 }
 
-void FleetDirectory::noteCells(std::uint32_t cells, Instant now)
+void FleetDirectory::adoptCellCount(std::uint32_t cells, Instant now)
 {
     const bool isNumber = std::has_single_bit(cells) && cells > m_cells;
     if (isNumber && mayHave(cells, knownCount(now)))
@@ -155,14 +155,14 @@
     return now - member.heard <= liveLimit(member);
 }
 
-bool FleetDirectory::mayBeNamed(const KnownMember &member, Instant now) const
+bool FleetDirectory::isRoutable(const KnownMember &member, Instant now) const
 {
     return isLive(member, now) && now - member.heard <= LongestNamed;
 }
 
 bool FleetDirectory::isKnown(const KnownMember &member, Instant now) const
 {
-    return isLive(member, now) || (now - member.heard <= KnownLimit && !member.brief.isLeaving);
+    return isLive(member, now) || (now - member.heard <= KnownLimit && !member.info.isLeaving);
 }
 
 std::size_t FleetDirectory::liveCount(Instant now) const
@@ -182,7 +182,7 @@
     CellWeights cells {std::vector<std::uint32_t>(m_cells, 0), ownCell()};
     cells.weights[cells.own] = 1;
     for (const auto &[id, member] : m_members) {
-        if (isLive(member, now) && member.brief.isReady && !member.brief.isLeaving)
+        if (isLive(member, now) && member.info.isReady && !member.info.isLeaving)
             ++cells.weights[member.cell];
     }
     return cells;
@@ -195,13 +195,13 @@
     return live;
 }
 
-bool FleetDirectory::isReader(const MemberBrief &self, Instant now) const
+bool FleetDirectory::isReader(const MemberInfo &self, Instant now) const
 {
     std::size_t candidates = 0;
     std::size_t before = 0;
     std::size_t wanted = ReadersOfCell;
     for (const KnownMember *member : liveOfOwnCell(now)) {
-        const MemberBrief &brief = member->brief;
+        const MemberInfo &brief = member->info;
         // A source that turned one VM away in silence may do so to its successor, which would show
         // only after another time-out: too late for a change that was made in between.
         wanted += brief.hasLostSource ? 1 : 0;
@@ -218,65 +218,65 @@
 
 bool FleetDirectory::mayServe(const KnownMember &member, Instant now) const
 {
-    return isLive(member, now) && member.brief.isReady && !member.brief.isLeaving;
+    return isLive(member, now) && member.info.isReady && !member.info.isLeaving;
 }
 
-bool FleetDirectory::isFleetReader(const MemberBrief &self, Instant now) const
+bool FleetDirectory::isFleetReader(const MemberInfo &self, Instant now) const
 {
     if (m_cells == 1 || self.isLeaving || self.hasLostSource)
         return false;
     const auto goesBefore = [&](const auto &entry) {
         const KnownMember &member = entry.second;
-        return mayServe(member, now) && !member.brief.hasLostSource
-            && readsBefore(member.brief, self);
+        return mayServe(member, now) && !member.info.hasLostSource
+            && readsBefore(member.info, self);
     };
     return static_cast<std::size_t>(std::ranges::count_if(m_members, goesBefore)) < ReadersOfFleet;
 }
 
 std::vector<Endpoint> FleetDirectory::readersOfOtherCells(Instant now) const
 {
-    std::vector<std::vector<const MemberBrief *>> cells(m_cells);
+    std::vector<std::vector<const MemberInfo *>> cells(m_cells);
     for (const auto &[id, member] : m_members) {
         if (member.cell != ownCell() && mayServe(member, now))
-            cells[member.cell].push_back(&member.brief);
+            cells[member.cell].push_back(&member.info);
     }
     std::vector<Endpoint> readers;
-    for (std::vector<const MemberBrief *> &cell : cells) {
+    for (std::vector<const MemberInfo *> &cell : cells) {
         std::ranges::sort(
             cell, [](const auto *one, const auto *other) { return readsBefore(*one, *other); });
         cell.resize(std::min(cell.size(), ReadersOfCell));
-        for (const MemberBrief *brief : cell)
+        for (const MemberInfo *brief : cell)
             readers.push_back(brief->beaconAddress);
     }
     return readers;
 }
 
-SourceContact FleetDirectory::sourceContact(const MemberBrief &self, Instant now) const
+SourceReachability FleetDirectory::sourceReachability(const MemberInfo &self, Instant now) const
 {
-    SourceContact contact {self.reachesSource, self.hasLostSource};
+    SourceReachability contact {self.reachesSource, self.hasLostSource};
     for (const KnownMember *member : liveOfOwnCell(now)) {
-        contact.someReach |= member->brief.reachesSource;
-        contact.someLost |= member->brief.hasLostSource;
+        contact.anyReachable |= member->info.reachesSource;
+        contact.anyFailed |= member->info.hasLostSource;
     }
     return contact;
 }
 
-MemberBrief FleetDirectory::told(const KnownMember &member, Instant now)
+MemberInfo FleetDirectory::advertisedInfo(const KnownMember &member, Instant now)
 {
-    MemberBrief brief = member.brief;
+    MemberInfo brief = member.info;
     brief.age = millisecondsOf(now - member.heard);
     return brief;
 }
 
-std::vector<MemberBrief> FleetDirectory::sample(std::size_t most, RandomSource &random,
-                                                Instant now) const
+std::vector<MemberInfo> FleetDirectory::sample(std::size_t most, RandomSource &random,
+                                               Instant now) const
 {
-    std::vector<MemberBrief> sample;
+    std::vector<MemberInfo> sample;
     std::size_t left = m_members.size();
     for (const auto &[id, member] : m_members) {
         const std::size_t wanted = most - sample.size();
         if (random.next() % left-- < wanted)
-            sample.push_back(told(member, now));
+            sample.push_back(advertisedInfo(member, now));
     }
     return sample;
 }
--- a/packages/fleetview/apricothook/fleetview/apricothook_fleet_directory.hpp
+++ b/packages/fleetview/apricothook/fleetview/apricothook_fleet_directory.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <apricothook/dispatch/apricothook_slot_partition.hpp>
-#include <apricothook/fleetview/apricothook_member_brief.hpp>
+#include <apricothook/fleetview/apricothook_member_info.hpp>
 #include <apricothook/fleetview/apricothook_source_outage.hpp>
 #include <apricothook/model/apricothook_time.hpp>
 
@@ -14,7 +14,7 @@
 /** A daemon as this one knows it, from itself or from others. */
 struct KnownMember
 {
-    MemberBrief brief;
+    MemberInfo info;
     /** When it was last heard, by whoever told of it. */
     Instant heard {};
     std::uint32_t cell = 0;
@@ -86,12 +86,12 @@
     explicit FleetDirectory(MemberId self);
 
     /** News of a member; older ones than what is known are passed over. */
-    void take(const MemberBrief &brief, Instant now);
+    void update(const MemberInfo &brief, Instant now);
     /** Forgets whom nobody has heard for long, and settles the number of cells. */
     void review(Instant now);
     /** Takes the number of cells of another daemon over, if it is larger and this one may have it.
      */
-    void noteCells(std::uint32_t cells, Instant now);
+    void adoptCellCount(std::uint32_t cells, Instant now);
 
     const MemberId &self() const { return m_self; }
     std::uint32_t cells() const { return m_cells; }
@@ -105,7 +105,7 @@
     std::vector<const KnownMember *> membersOfCell(std::uint32_t cell) const;
     bool isLive(const KnownMember &member, Instant now) const;
     /** Live, and heard within LongestNamed: callers may be sent to it. */
-    bool mayBeNamed(const KnownMember &member, Instant now) const;
+    bool isRoutable(const KnownMember &member, Instant now) const;
     /** Members that may be alive; this daemon among them. */
     std::size_t liveCount(Instant now) const;
     std::size_t knownCount(Instant now) const;
@@ -114,26 +114,28 @@
      * it has run for long. Daemons that all start while they are cut in two would otherwise take
      * each side for the whole fleet; only one of them hears most seeds.
      */
-    bool knowsFleet(const std::vector<Endpoint> &seeds, const Endpoint &own, Instant now) const;
+    bool hasDiscoveredFleet(const std::vector<Endpoint> &seeds, const Endpoint &own,
+                            Instant now) const;
     /**
      * Most of the `seeds`, this daemon with them, are live. Of two parts of a fleet that don't hear
      * each other, one at most hears them.
      */
-    bool hearsMostSeeds(const std::vector<Endpoint> &seeds, const Endpoint &own, Instant now) const;
+    bool reachesSeedMajority(const std::vector<Endpoint> &seeds, const Endpoint &own,
+                             Instant now) const;
     CellWeights weights(Instant now) const;
     /** `self` is one of those who read at the source. All are while too few are known to reach it.
      */
-    bool isReader(const MemberBrief &self, Instant now) const;
+    bool isReader(const MemberInfo &self, Instant now) const;
     /** `self` is one of those who read for all cells; none is in a fleet of one cell. */
-    bool isFleetReader(const MemberBrief &self, Instant now) const;
+    bool isFleetReader(const MemberInfo &self, Instant now) const;
     /** Whom the readers of the fleet tell what they have read. */
     std::vector<Endpoint> readersOfOtherCells(Instant now) const;
     /** What `self` and the live members of its cell tell of the source. */
-    SourceContact sourceContact(const MemberBrief &self, Instant now) const;
+    SourceReachability sourceReachability(const MemberInfo &self, Instant now) const;
     /** Some members, as they are to be told to others. */
-    std::vector<MemberBrief> sample(std::size_t most, RandomSource &random, Instant now) const;
+    std::vector<MemberInfo> sample(std::size_t most, RandomSource &random, Instant now) const;
     /** The member as it is to be told to others. */
-    static MemberBrief told(const KnownMember &member, Instant now);
+    static MemberInfo advertisedInfo(const KnownMember &member, Instant now);
 
 private:
     /** Three summaries may be lost or go to others before a member of another cell seems gone. */
--- a/packages/fleetview/apricothook/fleetview/apricothook_fleet_size.cpp
+++ b/packages/fleetview/apricothook/fleetview/apricothook_fleet_size.cpp
@@ -13,8 +13,8 @@
 void FleetSize::review(Instant now)
 {
     const std::size_t known = m_directory.knownCount(now);
-    const bool hearsSeeds = m_directory.hearsMostSeeds(m_seeds, m_own, now);
-    if (hearsSeeds && m_directory.knowsFleet(m_seeds, m_own, now))
+    const bool hearsSeeds = m_directory.reachesSeedMajority(m_seeds, m_own, now);
+    if (hearsSeeds && m_directory.hasDiscoveredFleet(m_seeds, m_own, now))
         m_daemons = known;
     else if (m_daemons)
         m_daemons = std::max(*m_daemons, known);
--- a/packages/fleetview/apricothook/fleetview/apricothook_beacon_table.cpp
+++ b/packages/fleetview/apricothook/fleetview/apricothook_heartbeat_table.cpp
@@ -1,55 +1,55 @@
-#include <apricothook/fleetview/apricothook_beacon_table.hpp>
+#include <apricothook/fleetview/apricothook_heartbeat_table.hpp>
 
 #include <algorithm>
 #include <tuple>
 
 namespace Apricothook {
 
-BeaconEffect BeaconTable::take(const Beacon &beacon, Instant now)
+HeartbeatChange HeartbeatTable::apply(const Heartbeat &beacon, Instant now)
 {
-    BeaconEffect effect;
+    HeartbeatChange effect;
     const MemberId &sender = beacon.sender.member;
     if (sender == m_self)
         return effect;
-    const std::uint64_t number = memberNumber(sender);
+    const std::uint64_t number = memberHash(sender);
     const bool isKnown = m_mates.contains(number);
-    CellMate &mate = m_mates[number];
-    const auto age = [](const CellReport &of) { return std::tuple(of.process, of.sequence); };
+    CellPeer &mate = m_mates[number];
+    const auto age = [](const CellLoadReport &of) { return std::tuple(of.process, of.sequence); };
     const bool isOther = beacon.report.process != mate.report.process;
     const bool isSuccessor = isOther && now - mate.heard > OldBeaconTime;
     if (isKnown && !isSuccessor && age(beacon.report) <= age(mate.report))
         return effect;
-    effect.isNews = true;
+    effect.isNewer = true;
     effect.isNewProcess = !isKnown || isOther;
-    effect.isBack = !mate.isHeard;
+    effect.hasReturned = !mate.isLive;
     mate = {beacon.sender, beacon.report, now, true};
     return effect;
 }
 
-BeaconEffect BeaconTable::take(const CellReport &report, Instant now)
+HeartbeatChange HeartbeatTable::apply(const CellLoadReport &report, Instant now)
 {
     const auto known = m_mates.find(report.member);
     if (known == m_mates.end())
         return {};
-    CellMate &mate = known->second;
+    CellPeer &mate = known->second;
     if (report.process != mate.report.process || report.sequence <= mate.report.sequence)
         return {};
-    BeaconEffect effect;
-    effect.isNews = true;
-    effect.isBack = !mate.isHeard;
+    HeartbeatChange effect;
+    effect.isNewer = true;
+    effect.hasReturned = !mate.isLive;
     mate.report = report;
     mate.heard = now;
-    mate.isHeard = true;
+    mate.isLive = true;
     return effect;
 }
 
-std::vector<MemberId> BeaconTable::noteSilent(Instant now)
+std::vector<MemberId> HeartbeatTable::markSilent(Instant now)
 {
     std::vector<MemberId> silent;
     for (auto &[number, mate] : m_mates) {
-        if (mate.isHeard && now - mate.heard > SilenceLimit) {
-            mate.isHeard = false;
-            silent.push_back(mate.brief.member);
+        if (mate.isLive && now - mate.heard > SilenceLimit) {
+            mate.isLive = false;
+            silent.push_back(mate.info.member);
         }
     }
     std::erase_if(m_mates,
@@ -57,22 +57,22 @@
     return silent;
 }
 
-const CellMate *BeaconTable::find(const MemberId &member) const
+const CellPeer *HeartbeatTable::find(const MemberId &member) const
 {
-    return find(memberNumber(member));
+    return find(memberHash(member));
 }
 
-const CellMate *BeaconTable::find(std::uint64_t memberNumber) const
+const CellPeer *HeartbeatTable::find(std::uint64_t memberNumber) const
 {
     const auto found = m_mates.find(memberNumber);
     return found == m_mates.end() ? nullptr : &found->second;
 }
 
-std::vector<const CellMate *> BeaconTable::heard() const
+std::vector<const CellPeer *> HeartbeatTable::heard() const
 {
-    std::vector<const CellMate *> heard;
+    std::vector<const CellPeer *> heard;
     for (const auto &[number, mate] : m_mates) {
-        if (mate.isHeard)
+        if (mate.isLive)
             heard.push_back(&mate);
     }
     return heard;
--- a/packages/fleetview/apricothook/fleetview/apricothook_beacon_table.hpp
+++ b/packages/fleetview/apricothook/fleetview/apricothook_heartbeat_table.hpp
@@ -9,30 +9,30 @@
 namespace Apricothook {
 
 /** What a beacon or a report changed. */
-struct BeaconEffect
+struct HeartbeatChange
 {
     /** It is newer than all that is known of its sender. */
-    bool isNews = false;
+    bool isNewer = false;
     /** The sender's process is another one than before, or it is new. */
     bool isNewProcess = false;
     /** The sender was silent or unknown. */
-    bool isBack = false;
+    bool hasReturned = false;
 };
 
 /** Another daemon of the cell as it tells itself. */
-struct CellMate
+struct CellPeer
 {
-    MemberBrief brief;
-    CellReport report;
+    MemberInfo info;
+    CellLoadReport report;
     Instant heard {};
-    bool isHeard = false;
+    bool isLive = false;
 };
 
 /**
  * The other daemons of the own cell, from their beacons and load reports. What a silent one had at
  * the targets is forgotten after SilenceLimit.
  */
-class BeaconTable
+class HeartbeatTable
 {
 public:
     /** Five beacons of an idle daemon: loss of one in three hardly ever makes such a gap. */
@@ -45,23 +45,23 @@
     /** A silent member's process is remembered for so long, to tell its next word's news. */
     static constexpr std::chrono::seconds MemoryLimit {60};
 
-    explicit BeaconTable(MemberId self) : m_self(std::move(self)) { }
+    explicit HeartbeatTable(MemberId self) : m_self(std::move(self)) { }
 
-    BeaconEffect take(const Beacon &beacon, Instant now);
+    HeartbeatChange apply(const Heartbeat &beacon, Instant now);
     /** A report counts only for the process whose beacon is known. */
-    BeaconEffect take(const CellReport &report, Instant now);
+    HeartbeatChange apply(const CellLoadReport &report, Instant now);
     /** Members that have just become silent. */
-    std::vector<MemberId> noteSilent(Instant now);
+    std::vector<MemberId> markSilent(Instant now);
     /** Null when no beacon of it is known. */
-    const CellMate *find(const MemberId &member) const;
+    const CellPeer *find(const MemberId &member) const;
     /** Null when no beacon of it is known. */
-    const CellMate *find(std::uint64_t memberNumber) const;
-    std::vector<const CellMate *> heard() const;
+    const CellPeer *find(std::uint64_t memberNumber) const;
+    std::vector<const CellPeer *> heard() const;
 
 private:
     const MemberId m_self;
-    /** By memberNumber(). */
-    std::map<std::uint64_t, CellMate> m_mates;
+    /** By memberHash(). */
+    std::map<std::uint64_t, CellPeer> m_mates;
 };
 
 } // namespace Apricothook
--- a/packages/fleetview/apricothook/fleetview/apricothook_item_protocol.hpp
+++ b/packages/fleetview/apricothook/fleetview/apricothook_item_protocol.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <apricothook/fleetview/apricothook_item_replica.hpp>
-#include <apricothook/model/apricothook_failure.hpp>
+#include <apricothook/model/apricothook_result.hpp>
 
 #include <string>
 #include <string_view>
@@ -11,8 +11,8 @@
 /** Why a source's answer isn't an update. */
 enum class ItemProtocolError {
     Malformed,
-    HistoryGone, ///< The changes since that revision are no longer known: read everything.
-    Refused,     ///< The source answers nobody, or not us, for now.
+    HistoryCompacted, ///< The changes since that revision are no longer known: read everything.
+    Refused,          ///< The source answers nobody, or not us, for now.
 };
 
 /** One page of everything that there is. */
--- a/packages/fleetview/apricothook/fleetview/apricothook_item_replica.cpp
+++ b/packages/fleetview/apricothook/fleetview/apricothook_item_replica.cpp
@@ -10,7 +10,7 @@
     const bool isFirst = m_revision == 0;
     for (const ItemChange &change : update.changes)
         applyChange(change);
-    if (update.isWhole)
+    if (update.isSnapshot)
         removeMissing(update);
     if (isFirst) {
         m_historyStart = update.revision;
@@ -60,7 +60,7 @@
                              [after](const ItemChange &change) { return change.revision > after; });
         return update;
     }
-    update.isWhole = true;
+    update.isSnapshot = true;
     for (const auto &[key, item] : m_items) {
         if (item.value)
             update.changes.push_back({key, item.value, item.revision});
--- a/packages/fleetview/apricothook/fleetview/apricothook_item_replica.hpp
+++ b/packages/fleetview/apricothook/fleetview/apricothook_item_replica.hpp
@@ -32,7 +32,7 @@
 {
     std::vector<ItemChange> changes;
     /** `changes` are all items; what isn't among them was removed. */
-    bool isWhole = false;
+    bool isSnapshot = false;
     /** The revision up to which the source has told everything. */
     Revision revision = 0;
 
@@ -66,9 +66,9 @@
     void apply(const ItemUpdate &update);
     Revision revision() const { return m_revision; }
     /** Of the last change that matters to peers and came after the first update; zero at first. */
-    Revision newsRevision() const { return m_newsRevision; }
+    Revision relevantRevision() const { return m_newsRevision; }
     /** The same with all that the first update told, for those that others hear news from. */
-    Revision toldRevision() const { return std::max(m_firstRevision, m_newsRevision); }
+    Revision advertisedRevision() const { return std::max(m_firstRevision, m_newsRevision); }
     /** What a peer that knows all up to `after` lacks; everything when that isn't known any more.
      */
     ItemUpdate since(Revision after) const;
