--- a/packages/fleetview/apricothook/fleetview/apricothook_item_watcher.cpp
+++ b/packages/fleetview/apricothook/fleetview/apricothook_item_watcher.cpp
@@ -10,7 +10,7 @@
 std::chrono::milliseconds ItemWatcher::watchTime(Duration inForce)
 {
     const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(
-        inForce - GatherPause - AnswerTime - TakeOverTime);
+        inForce - BatchDelay - AnswerTime - FailoverTime);
     return std::clamp(left, ShortestWatch, LongestWatch);
 }
 
@@ -95,7 +95,7 @@
 bool ItemWatcher::readAll()
 {
     ItemUpdate whole;
-    whole.isWhole = true;
+    whole.isSnapshot = true;
     std::optional<Revision> revision;
     std::string after;
     while (true) {
@@ -136,7 +136,7 @@
     }
     Result<ItemUpdate, ItemProtocolError> update = m_protocol.watched(*answer);
     if (!update) {
-        if (update.error() == ItemProtocolError::HistoryGone) {
+        if (update.error() == ItemProtocolError::HistoryCompacted) {
             m_revision.reset();
             return true;
         }
@@ -148,7 +148,7 @@
     if (update.value().changes.empty())
         return true;
     m_updated(std::move(update).value());
-    std::this_thread::sleep_for(GatherPause);
+    std::this_thread::sleep_for(BatchDelay);
     return true;
 }
 
--- a/packages/fleetview/apricothook/fleetview/apricothook_item_watcher.hpp
+++ b/packages/fleetview/apricothook/fleetview/apricothook_item_watcher.hpp
@@ -29,7 +29,7 @@
     static constexpr std::chrono::milliseconds LongestWatch {2000};
     static constexpr std::chrono::milliseconds ShortestWatch {200};
     /** What the other daemons need to hear of a reader's failure and to read for it. */
-    static constexpr std::chrono::milliseconds TakeOverTime {300};
+    static constexpr std::chrono::milliseconds FailoverTime {300};
     /** Longer than the wait by so much, a call has failed. */
     static constexpr std::chrono::milliseconds AnswerTime {700};
     static constexpr std::chrono::milliseconds ConnectTime {500};
@@ -37,7 +37,7 @@
      * After an answer with changes: others that come right after it cost no call of their own.
      * Against 100 ms it saves a fifth of the calls on days with many changes in large fleets.
      */
-    static constexpr std::chrono::milliseconds GatherPause {250};
+    static constexpr std::chrono::milliseconds BatchDelay {250};
     /** Between calls that failed; the source's rate is shared by all daemons. */
     static constexpr std::chrono::milliseconds RetryPause {150};
 
--- a/packages/fleetview/apricothook/fleetview/apricothook_member_brief.hpp
+++ b/packages/fleetview/apricothook/fleetview/apricothook_member_info.hpp
@@ -9,7 +9,7 @@
 namespace Apricothook {
 
 /** What daemons pass on of one of them. */
-struct MemberBrief
+struct MemberInfo
 {
     MemberId member;
     /** Larger for each later process of the member. */
@@ -39,7 +39,7 @@
                 self.itemAddress, self.isReady, self.isLeaving, self.reachesSource,
                 self.hasLostSource, self.capacity, self.age);
     }
-    auto operator<=>(const MemberBrief &) const = default;
+    auto operator<=>(const MemberInfo &) const = default;
 };
 
 } // namespace Apricothook
--- a/packages/fleetview/apricothook/fleetview/apricothook_peer_datagram.hpp
+++ b/packages/fleetview/apricothook/fleetview/apricothook_peer_datagram.hpp
@@ -1,10 +1,10 @@
 #pragma once
 
 #include <apricothook/dispatch/apricothook_limit_messages.hpp>
-#include <apricothook/fleetview/apricothook_cell_report.hpp>
-#include <apricothook/fleetview/apricothook_member_brief.hpp>
-#include <apricothook/model/apricothook_failure.hpp>
+#include <apricothook/fleetview/apricothook_cell_load_report.hpp>
+#include <apricothook/fleetview/apricothook_member_info.hpp>
 #include <apricothook/model/apricothook_peer_message.hpp>
+#include <apricothook/model/apricothook_result.hpp>
 #include <apricothook/peers/apricothook_codec_error.hpp>
 
 #include <string>
@@ -15,19 +15,19 @@
 namespace Apricothook {
 
 /** Who a daemon is and all that it does; told to its cell some times a second. */
-struct Beacon
+struct Heartbeat
 {
-    MemberBrief sender;
+    MemberInfo sender;
     /** The highest revision of a published item that the sender has. */
     std::uint64_t revision = 0;
-    CellReport report;
+    CellLoadReport report;
 
     template <typename Archive, typename Self>
     static void fields(Archive &archive, Self &self)
     {
         archive(self.sender, self.revision, self.report);
     }
-    auto operator<=>(const Beacon &) const = default;
+    auto operator<=>(const Heartbeat &) const = default;
 };
 
 /**
@@ -42,7 +42,7 @@
     std::uint32_t cells = 1;
     std::uint64_t revision = 0;
     /** The members of the cell that the sender hears, itself first. */
-    std::vector<MemberBrief> members;
+    std::vector<MemberInfo> members;
 
     template <typename Archive, typename Self>
     static void fields(Archive &archive, Self &self)
@@ -53,27 +53,27 @@
 };
 
 /** A daemon's word to one that may not know it, with some others that it knows. */
-struct Greeting
+struct MemberGossip
 {
-    MemberBrief sender;
+    MemberInfo sender;
     /** The receiver is asked to greet back. */
-    bool wantsAnswer = false;
+    bool wantsReply = false;
     /** With all that it knows: the sender has just started. */
-    bool wantsAll = false;
-    std::vector<MemberBrief> others;
+    bool wantsFullList = false;
+    std::vector<MemberInfo> others;
 
     template <typename Archive, typename Self>
     static void fields(Archive &archive, Self &self)
     {
-        archive(self.sender, self.wantsAnswer, self.wantsAll, self.others);
+        archive(self.sender, self.wantsReply, self.wantsFullList, self.others);
     }
-    auto operator<=>(const Greeting &) const = default;
+    auto operator<=>(const MemberGossip &) const = default;
 };
 
 /** What a reader of the fleet has read; told to the readers of the other cells. */
-struct ReaderNote
+struct ReaderAnnouncement
 {
-    MemberBrief sender;
+    MemberInfo sender;
     /** The highest revision of a published item that the sender has. */
     std::uint64_t revision = 0;
 
@@ -82,7 +82,7 @@
     {
         archive(self.sender, self.revision);
     }
-    auto operator<=>(const ReaderNote &) const = default;
+    auto operator<=>(const ReaderAnnouncement &) const = default;
 };
 
 /** Asks whether the receiver can be reached, and answers back. */
@@ -99,7 +99,7 @@
     auto operator<=>(const ReachProbe &) const = default;
 };
 
-struct ReachAnswer
+struct ReachReply
 {
     std::uint64_t probe = 0;
 
@@ -108,13 +108,14 @@
     {
         archive(self.probe);
     }
-    auto operator<=>(const ReachAnswer &) const = default;
+    auto operator<=>(const ReachReply &) const = default;
 };
 
 /** What one datagram between daemons holds. */
-using PeerDatagram = std::variant<Beacon, CellReport, CellSummary, Greeting, UnitsAsk, UnitsAnswer,
-                                  GrantorClaim, GrantorHandover, ReachProbe, ReachAnswer,
-                                  ReaderNote, GrantorDenial, SuspectNotice>;
+using PeerDatagram
+    = std::variant<Heartbeat, CellLoadReport, CellSummary, MemberGossip, UnitsRequest, UnitsReply,
+                   GrantorClaim, GrantorHandover, ReachProbe, ReachReply, ReaderAnnouncement,
+                   GrantorDenial, SuspectNotice>;
 
 std::string writePeerDatagram(const PeerDatagram &datagram);
 Result<PeerDatagram, CodecError> parsePeerDatagram(std::string_view bytes);
--- a/packages/fleetview/apricothook/fleetview/apricothook_peer_item_fetcher.cpp
+++ b/packages/fleetview/apricothook/fleetview/apricothook_peer_item_fetcher.cpp
@@ -22,7 +22,7 @@
     m_thread.join();
 }
 
-bool PeerItemFetcher::fetch(const MemberBrief &peer, Revision after)
+bool PeerItemFetcher::fetch(const MemberInfo &peer, Revision after)
 {
     {
         const std::lock_guard lock(m_mutex);
--- a/packages/fleetview/apricothook/fleetview/apricothook_peer_item_fetcher.hpp
+++ b/packages/fleetview/apricothook/fleetview/apricothook_peer_item_fetcher.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <apricothook/fleetview/apricothook_item_replica.hpp>
-#include <apricothook/fleetview/apricothook_member_brief.hpp>
+#include <apricothook/fleetview/apricothook_member_info.hpp>
 #include <apricothook/model/apricothook_endpoint.hpp>
 
 #include <atomic>
@@ -24,7 +24,7 @@
     /** A peer is a round trip away; more means that it is gone or far too busy. */
     static constexpr std::chrono::milliseconds AnswerTime {800};
     static constexpr std::chrono::milliseconds ConnectTime {300};
-    using Fetched = std::function<void(const MemberBrief &peer, std::optional<ItemUpdate>)>;
+    using Fetched = std::function<void(const MemberInfo &peer, std::optional<ItemUpdate>)>;
 
     /** `fetched` is called on the fetcher's thread; without an update when the peer failed. */
     explicit PeerItemFetcher(Fetched fetched);
@@ -33,12 +33,12 @@
     PeerItemFetcher &operator=(const PeerItemFetcher &) = delete;
 
     /** False, and nothing is done, while another fetch runs. */
-    bool fetch(const MemberBrief &peer, Revision after);
+    bool fetch(const MemberInfo &peer, Revision after);
 
 private:
     struct Order
     {
-        MemberBrief peer;
+        MemberInfo peer;
         Revision after = 0;
     };
 
--- a/packages/fleetview/apricothook/fleetview/apricothook_peer_item_protocol.cpp
+++ b/packages/fleetview/apricothook/fleetview/apricothook_peer_item_protocol.cpp
@@ -30,7 +30,7 @@
     return std::string(PeerItemsPath) + std::string(AfterParameter) + std::to_string(after);
 }
 
-std::optional<Revision> askedRevision(std::string_view target)
+std::optional<Revision> requestedRevision(std::string_view target)
 {
     const std::string start = std::string(PeerItemsPath) + std::string(AfterParameter);
     if (!target.starts_with(start))
@@ -47,7 +47,7 @@
 {
     Json::Value document(Json::objectValue);
     document["revision"] = static_cast<Json::UInt64>(update.revision);
-    document["whole"] = update.isWhole;
+    document["whole"] = update.isSnapshot;
     document["changes"] = Json::Value(Json::arrayValue);
     for (const ItemChange &change : update.changes) {
         Json::Value item(Json::objectValue);
@@ -72,7 +72,7 @@
         return ItemProtocolError::Malformed;
     ItemUpdate update;
     update.revision = document["revision"].asUInt64();
-    update.isWhole = document["whole"].asBool();
+    update.isSnapshot = document["whole"].asBool();
     for (const Json::Value &item : document["changes"]) {
         const Result<ItemChange, ItemProtocolError> change = changeOf(item);
         if (!change)
--- a/packages/fleetview/apricothook/fleetview/apricothook_peer_item_protocol.hpp
+++ b/packages/fleetview/apricothook/fleetview/apricothook_peer_item_protocol.hpp
@@ -14,7 +14,7 @@
 /** Path and query that ask a peer for what was published after a revision. */
 std::string peerItemsPath(Revision after);
 /** The revision that a request's target asks for; nothing when it isn't such a request. */
-std::optional<Revision> askedRevision(std::string_view target);
+std::optional<Revision> requestedRevision(std::string_view target);
 
 std::string writeItemUpdate(const ItemUpdate &update);
 Result<ItemUpdate, ItemProtocolError> parseItemUpdate(std::string_view text);
--- a/packages/fleetview/apricothook/fleetview/apricothook_reading_duty.hpp
+++ b/packages/fleetview/apricothook/fleetview/apricothook_reader_selection.hpp
@@ -14,11 +14,11 @@
  * times a second; those leave reading to them. A reader of a cell that hears too few of them reads
  * for itself, so a change comes as soon as with readers in each cell, whoever dies or is cut off.
  */
-class ReadingDuty
+class ReaderSelection
 {
 public:
     /** Between the notes of a reader of the fleet that has nothing new. */
-    static constexpr std::chrono::milliseconds NotePause {400};
+    static constexpr std::chrono::milliseconds AnnouncementInterval {400};
     /**
      * A reader that is silent for longer counts no more; two notes may be lost. As long as a silent
      * member of the own cell is waited for.
@@ -27,18 +27,18 @@
     /** Readers to be heard: one may be turned away by the source and not know it yet. */
     static constexpr std::size_t FewestReaders = 2;
 
-    void note(const ReaderNote &note, Instant now);
+    void recordAnnouncement(const ReaderAnnouncement &note, Instant now);
     /** Readers of the fleet that were heard of late and reach the source. */
-    std::size_t reaching(Instant now) const;
+    std::size_t reachableReaders(Instant now) const;
     /** What readers of the fleet tell of the source. */
-    SourceContact contact(Instant now) const;
+    SourceReachability sourceReachability(Instant now) const;
     /** `self` is to read; as a reader of the fleet, or of a cell that hears too few of them. */
-    bool isToRead(const FleetDirectory &directory, const MemberBrief &self, Instant now) const;
+    bool shouldRead(const FleetDirectory &directory, const MemberInfo &self, Instant now) const;
 
 private:
     struct Heard
     {
-        ReaderNote note;
+        ReaderAnnouncement note;
         Instant at {};
     };
 
--- a/packages/fleetview/apricothook/fleetview/apricothook_source_outage.cpp
+++ b/packages/fleetview/apricothook/fleetview/apricothook_source_outage.cpp
@@ -2,9 +2,9 @@
 
 namespace Apricothook {
 
-void SourceOutage::note(const SourceContact &contact, Instant now)
+void SourceOutage::note(const SourceReachability &contact, Instant now)
 {
-    if (!contact.someReach && contact.someLost) {
+    if (!contact.anyReachable && contact.anyFailed) {
         m_since = m_since.value_or(now);
         return;
     }
@@ -13,11 +13,11 @@
     m_since.reset();
 }
 
-Instant SourceOutage::doubtUntil(Instant now) const
+Instant SourceOutage::removalsUncertainUntil(Instant now) const
 {
     if (lasts(now))
-        return now + RegisterAgainTime;
-    return m_ended ? *m_ended + RegisterAgainTime : Instant::min();
+        return now + ReregistrationTime;
+    return m_ended ? *m_ended + ReregistrationTime : Instant::min();
 }
 
 } // namespace Apricothook
--- a/packages/fleetview/apricothook/fleetview/apricothook_source_outage.hpp
+++ b/packages/fleetview/apricothook/fleetview/apricothook_source_outage.hpp
@@ -7,14 +7,14 @@
 namespace Apricothook {
 
 /** What the daemons of a cell tell of the published items' source. */
-struct SourceContact
+struct SourceReachability
 {
     /** Some daemon's last call was answered. */
-    bool someReach = false;
+    bool anyReachable = false;
     /** Some daemon's last call failed. */
-    bool someLost = false;
+    bool anyFailed = false;
 
-    auto operator<=>(const SourceContact &) const = default;
+    auto operator<=>(const SourceReachability &) const = default;
 };
 
 /**
@@ -28,18 +28,18 @@
 {
 public:
     /** Targets register again within about two seconds of the source's return. */
-    static constexpr std::chrono::milliseconds RegisterAgainTime {2500};
+    static constexpr std::chrono::milliseconds ReregistrationTime {2500};
     /**
      * When both readers of a cell are turned away, the next in it reach the source within two
      * ticks; entries live longer than that without their targets' word.
      */
     static constexpr std::chrono::milliseconds ShortestOutage {500};
 
-    void note(const SourceContact &contact, Instant now);
+    void note(const SourceReachability &contact, Instant now);
     /** A removal that is heard now may be an entry that has lapsed. */
-    bool mayHaveLapsed(Instant now) const { return now < doubtUntil(now); }
+    bool mayHaveExpired(Instant now) const { return now < removalsUncertainUntil(now); }
     /** Until then removals are doubtful; in the past when they aren't. */
-    Instant doubtUntil(Instant now) const;
+    Instant removalsUncertainUntil(Instant now) const;
 
 private:
     bool lasts(Instant now) const { return m_since && now - *m_since >= ShortestOutage; }
--- a/packages/fleetview/tests/apricothook_cold_outlook_tests.cpp
+++ b/packages/fleetview/tests/apricothook_cold_view_tracker_tests.cpp
@@ -1,6 +1,6 @@
-#include <apricothook/fleetview/apricothook_cold_outlook.hpp>
+#include <apricothook/fleetview/apricothook_cold_view_tracker.hpp>
 
-#include <apricothook/testsupport/apricothook_hand_clock.hpp>
+#include <apricothook/testsupport/apricothook_manual_clock.hpp>
 
 #include <doctest/doctest.h>
 
@@ -17,26 +17,26 @@
 
 struct OutlookBench
 {
-    HandClock clock;
+    ManualClock clock;
     FleetDirectory directory {MemberId("self")};
-    ColdOutlook outlook {directory, Seeds, Own, milliseconds(1200)};
+    ColdViewTracker outlook {directory, Seeds, Own, milliseconds(1200)};
     ItemReach items {true, true};
 
     OutlookBench() { directory.review(clock.now()); }
     void hear(const std::string &member, const Endpoint &address = {})
     {
-        MemberBrief brief;
+        MemberInfo brief;
         brief.member = MemberId(member);
         brief.isReady = true;
         brief.beaconAddress = address;
-        directory.take(brief, clock.now());
+        directory.update(brief, clock.now());
     }
     void hearSeeds()
     {
         hear("seed1", Seeds[0]);
         hear("seed2", Seeds[1]);
     }
-    ColdFleet review() { return outlook.review(items, clock.now()); }
+    ColdTargetSenders review() { return outlook.review(items, clock.now()); }
     ColdView view() { return review().view; }
     /** Passes its first seconds, with the seeds and these members. */
     ColdView startedAndHeard(const std::vector<std::string> &members)
@@ -132,7 +132,7 @@
     bench.hearSeeds();
     CHECK(bench.view() == ColdView::Doubtful);
     bench.items = {true, true};
-    CHECK(bench.viewAfter(ColdOutlook::CatchUpTime) != ColdView::Doubtful);
+    CHECK(bench.viewAfter(ColdViewTracker::CatchUpTime) != ColdView::Doubtful);
 }
 
 TEST_CASE("a daemon that stood still doubts all targets until it has caught up")
@@ -143,7 +143,7 @@
     bench.clock.advance(seconds(8));
     bench.hearSeeds();
     CHECK(bench.view() == ColdView::Doubtful);
-    CHECK(bench.viewAfter(ColdOutlook::CatchUpTime) != ColdView::Doubtful);
+    CHECK(bench.viewAfter(ColdViewTracker::CatchUpTime) != ColdView::Doubtful);
 }
 
 TEST_CASE("a daemon that has just started doubts all targets until they have written again")
@@ -160,7 +160,7 @@
     // What others read comes later.
     bench.items = {false, true};
     CHECK(bench.view() == ColdView::Doubtful);
-    bench.viewAfter(ColdOutlook::OthersReadingTime);
+    bench.viewAfter(ColdViewTracker::OthersReadingTime);
     bench.hearSeeds();
     CHECK(bench.view() == ColdView::Main);
 }
--- a/packages/fleetview/tests/apricothook_fleet_directory_tests.cpp
+++ b/packages/fleetview/tests/apricothook_fleet_directory_tests.cpp
@@ -1,7 +1,7 @@
 #include <apricothook/fleetview/apricothook_fleet_directory.hpp>
 
-#include <apricothook/testsupport/apricothook_hand_clock.hpp>
-#include <apricothook/testsupport/apricothook_repeatable_random.hpp>
+#include <apricothook/testsupport/apricothook_deterministic_random.hpp>
+#include <apricothook/testsupport/apricothook_manual_clock.hpp>
 
 #include <doctest/doctest.h>
 
@@ -12,9 +12,9 @@
 
 namespace {
 
-MemberBrief brief(const std::string &member, std::uint32_t age = 0)
+MemberInfo brief(const std::string &member, std::uint32_t age = 0)
 {
-    MemberBrief made;
+    MemberInfo made;
     made.member = MemberId(member);
     made.isReady = true;
     made.age = age;
@@ -23,12 +23,12 @@
 
 struct Bench
 {
-    HandClock clock;
+    ManualClock clock;
     FleetDirectory directory {MemberId("self")};
 
-    void take(const MemberBrief &brief)
+    void take(const MemberInfo &brief)
     {
-        directory.take(brief, clock.now());
+        directory.update(brief, clock.now());
         directory.review(clock.now());
     }
     void fleet(std::size_t others)
@@ -81,7 +81,7 @@
 TEST_CASE("a member that leaves isn't counted as one that may be cut off")
 {
     Bench bench;
-    MemberBrief leaving = brief("a");
+    MemberInfo leaving = brief("a");
     leaving.isLeaving = true;
     bench.take(leaving);
     bench.pass(std::chrono::seconds(2));
@@ -137,7 +137,7 @@
 {
     Bench bench;
     bench.fleet(60);
-    RepeatableRandom random;
+    DeterministicRandom random;
     const auto sample = [&] { return bench.directory.sample(16, random, bench.clock.now()); };
     CHECK(sample().size() == 16);
     CHECK(sample() != sample());
@@ -149,11 +149,11 @@
 TEST_CASE("two daemons of a cell read at the source, the largest first")
 {
     Bench bench;
-    MemberBrief self = brief("self");
+    MemberInfo self = brief("self");
     self.capacity = 12;
     CHECK(bench.directory.isReader(self, bench.clock.now()));
     for (const char *name : {"a", "b", "c"}) {
-        MemberBrief large = brief(name);
+        MemberInfo large = brief(name);
         large.capacity = 50;
         bench.take(large);
     }
@@ -169,17 +169,17 @@
     // VMs, both readers among them; of two successors one is silent too, and shows it only after as
     // long again.
     Bench bench;
-    MemberBrief self = brief("self");
+    MemberInfo self = brief("self");
     self.capacity = 12;
     for (const char *name : {"a", "b", "c", "d"}) {
-        MemberBrief larger = brief(name);
+        MemberInfo larger = brief(name);
         larger.capacity = 50;
         bench.take(larger);
     }
     REQUIRE_FALSE(bench.directory.isReader(self, bench.clock.now()));
     bench.pass(std::chrono::milliseconds(1));
     for (const char *name : {"a", "b"}) {
-        MemberBrief silenced = brief(name);
+        MemberInfo silenced = brief(name);
         silenced.capacity = 50;
         silenced.hasLostSource = true;
         bench.take(silenced);
@@ -192,10 +192,10 @@
     // Callers are served by new configurations though the source turns the readers away: the next
     // in the cell take over, and when nobody is left, all try.
     Bench bench;
-    MemberBrief self = brief("self");
+    MemberInfo self = brief("self");
     self.capacity = 12;
-    MemberBrief one = brief("a");
-    MemberBrief other = brief("b");
+    MemberInfo one = brief("a");
+    MemberInfo other = brief("b");
     one.capacity = other.capacity = 50;
     bench.take(one);
     bench.take(other);
@@ -204,12 +204,14 @@
     one.hasLostSource = true;
     bench.take(one);
     CHECK(bench.directory.isReader(self, bench.clock.now()));
-    CHECK(bench.directory.sourceContact(self, bench.clock.now()) == SourceContact {false, true});
+    CHECK(bench.directory.sourceReachability(self, bench.clock.now())
+          == SourceReachability {false, true});
     bench.pass(std::chrono::milliseconds(500));
     one.hasLostSource = false;
     one.reachesSource = true;
     bench.take(one);
-    CHECK(bench.directory.sourceContact(self, bench.clock.now()) == SourceContact {true, false});
+    CHECK(bench.directory.sourceReachability(self, bench.clock.now())
+          == SourceReachability {true, false});
     // The other one has been silent for longer than a second.
     bench.pass(std::chrono::milliseconds(200));
     CHECK(bench.directory.isReader(self, bench.clock.now()));
@@ -238,10 +240,10 @@
     Bench started;
     started.fleet(250);
     REQUIRE(started.directory.cells() == 16);
-    started.directory.noteCells(32, started.clock.now());
+    started.directory.adoptCellCount(32, started.clock.now());
     CHECK(started.directory.cells() == 32);
-    started.directory.noteCells(64, started.clock.now());
-    started.directory.noteCells(33, started.clock.now());
+    started.directory.adoptCellCount(64, started.clock.now());
+    started.directory.adoptCellCount(33, started.clock.now());
     CHECK(started.directory.cells() == 32);
 }
 
@@ -251,9 +253,10 @@
     Bench bench;
     const std::vector<Endpoint> seeds {{"10.0.0.1", 1}, {"10.0.0.2", 1}, {"10.0.0.3", 1}};
     const Endpoint own {"10.0.0.9", 1};
-    const auto knows = [&] { return bench.directory.knowsFleet(seeds, own, bench.clock.now()); };
+    const auto knows
+        = [&] { return bench.directory.hasDiscoveredFleet(seeds, own, bench.clock.now()); };
     const auto takeSeed = [&](std::size_t index) {
-        MemberBrief seed = brief("seed" + std::to_string(index));
+        MemberInfo seed = brief("seed" + std::to_string(index));
         seed.beaconAddress = seeds[index];
         bench.take(seed);
     };
@@ -265,10 +268,10 @@
     Bench alone;
     alone.pass(std::chrono::milliseconds(1));
     alone.pass(std::chrono::milliseconds(500));
-    CHECK(alone.directory.knowsFleet({own}, own, alone.clock.now()));
-    CHECK_FALSE(alone.directory.knowsFleet(seeds, own, alone.clock.now()));
+    CHECK(alone.directory.hasDiscoveredFleet({own}, own, alone.clock.now()));
+    CHECK_FALSE(alone.directory.hasDiscoveredFleet(seeds, own, alone.clock.now()));
     alone.pass(FleetDirectory::LoneTime);
-    CHECK(alone.directory.knowsFleet(seeds, own, alone.clock.now()));
+    CHECK(alone.directory.hasDiscoveredFleet(seeds, own, alone.clock.now()));
 }
 
 TEST_CASE("callers aren't named a daemon that was last heard many seconds ago")
@@ -281,7 +284,7 @@
     const auto namedAndLive = [&] {
         std::pair<std::size_t, std::size_t> counts;
         for (const auto &[id, member] : bench.directory.members()) {
-            counts.first += bench.directory.mayBeNamed(member, bench.clock.now()) ? 1 : 0;
+            counts.first += bench.directory.isRoutable(member, bench.clock.now()) ? 1 : 0;
             counts.second += bench.directory.isLive(member, bench.clock.now()) ? 1 : 0;
         }
         return counts;
--- a/packages/fleetview/tests/apricothook_fleet_size_tests.cpp
+++ b/packages/fleetview/tests/apricothook_fleet_size_tests.cpp
@@ -1,6 +1,6 @@
 #include <apricothook/fleetview/apricothook_fleet_size.hpp>
 
-#include <apricothook/testsupport/apricothook_hand_clock.hpp>
+#include <apricothook/testsupport/apricothook_manual_clock.hpp>
 
 #include <doctest/doctest.h>
 
@@ -20,7 +20,7 @@
 {
     static constexpr std::size_t Own = 9;
 
-    HandClock clock;
+    ManualClock clock;
     FleetDirectory directory {MemberId("vm-9")};
     FleetSize size {directory, {addressOf(1), addressOf(2), addressOf(3)}, addressOf(Own)};
 
@@ -29,10 +29,10 @@
     {
         for (std::chrono::milliseconds passed {}; passed < time; passed += Beat) {
             for (std::size_t number = first; number <= last; ++number) {
-                MemberBrief brief;
+                MemberInfo brief;
                 brief.member = MemberId("vm-" + std::to_string(number));
                 brief.beaconAddress = addressOf(number);
-                directory.take(brief, clock.now());
+                directory.update(brief, clock.now());
             }
             review();
         }
@@ -86,7 +86,7 @@
 
 TEST_CASE("a daemon without other seeds is the fleet")
 {
-    HandClock clock;
+    ManualClock clock;
     FleetDirectory directory(MemberId("vm-9"));
     FleetSize size(directory, {addressOf(9)}, addressOf(9));
     for (int turn = 0; turn < 10; ++turn) {
--- a/packages/fleetview/tests/apricothook_beacon_table_tests.cpp
+++ b/packages/fleetview/tests/apricothook_heartbeat_table_tests.cpp
@@ -1,6 +1,6 @@
-#include <apricothook/fleetview/apricothook_beacon_table.hpp>
+#include <apricothook/fleetview/apricothook_heartbeat_table.hpp>
 
-#include <apricothook/testsupport/apricothook_hand_clock.hpp>
+#include <apricothook/testsupport/apricothook_manual_clock.hpp>
 
 #include <doctest/doctest.h>
 
@@ -8,29 +8,29 @@
 
 namespace {
 
-Beacon beacon(const std::string &member, std::uint64_t process, std::uint64_t sequence)
+Heartbeat beacon(const std::string &member, std::uint64_t process, std::uint64_t sequence)
 {
-    Beacon made;
+    Heartbeat made;
     made.sender.member = MemberId(member);
     made.sender.process = Incarnation(process);
     made.sender.isReady = true;
-    made.report.member = memberNumber(made.sender.member);
+    made.report.member = memberHash(made.sender.member);
     made.report.process = Incarnation(process);
     made.report.sequence = sequence;
     return made;
 }
 
-CellReport report(const std::string &member, std::uint64_t process, std::uint64_t sequence)
+CellLoadReport report(const std::string &member, std::uint64_t process, std::uint64_t sequence)
 {
     return beacon(member, process, sequence).report;
 }
 
 struct Bench
 {
-    HandClock clock;
-    BeaconTable mates {MemberId("self")};
-    BeaconEffect take(const Beacon &beacon) { return mates.take(beacon, clock.now()); }
-    BeaconEffect take(const CellReport &report) { return mates.take(report, clock.now()); }
+    ManualClock clock;
+    HeartbeatTable mates {MemberId("self")};
+    HeartbeatChange take(const Heartbeat &beacon) { return mates.apply(beacon, clock.now()); }
+    HeartbeatChange take(const CellLoadReport &report) { return mates.apply(report, clock.now()); }
 };
 
 } // namespace
@@ -39,10 +39,10 @@
 {
     Bench bench;
     CHECK(bench.take(beacon("a", 7, 3)).isNewProcess);
-    CHECK_FALSE(bench.take(beacon("a", 7, 3)).isNews);
-    CHECK_FALSE(bench.take(beacon("a", 7, 2)).isNews);
-    CHECK(bench.take(beacon("a", 7, 4)).isNews);
-    CHECK_FALSE(bench.take(beacon("self", 9, 1)).isNews);
+    CHECK_FALSE(bench.take(beacon("a", 7, 3)).isNewer);
+    CHECK_FALSE(bench.take(beacon("a", 7, 2)).isNewer);
+    CHECK(bench.take(beacon("a", 7, 4)).isNewer);
+    CHECK_FALSE(bench.take(beacon("self", 9, 1)).isNewer);
     CHECK(bench.mates.heard().size() == 1);
 }
 
@@ -52,10 +52,10 @@
     // that clock was set back meanwhile: the new process seems older than the one that died.
     Bench bench;
     bench.take(beacon("a", 7000, 50));
-    CHECK_FALSE(bench.take(beacon("a", 3000, 1)).isNews);
+    CHECK_FALSE(bench.take(beacon("a", 3000, 1)).isNewer);
     bench.clock.advance(std::chrono::milliseconds(600));
     CHECK(bench.take(beacon("a", 3000, 2)).isNewProcess);
-    CHECK(bench.take(beacon("a", 3000, 3)).isNews);
+    CHECK(bench.take(beacon("a", 3000, 3)).isNewer);
 }
 
 TEST_CASE("a member that falls silent is told once, and so is its return")
@@ -63,24 +63,24 @@
     Bench bench;
     bench.take(beacon("a", 7, 1));
     bench.clock.advance(std::chrono::milliseconds(900));
-    CHECK(bench.mates.noteSilent(bench.clock.now()).empty());
+    CHECK(bench.mates.markSilent(bench.clock.now()).empty());
     bench.clock.advance(std::chrono::milliseconds(200));
-    CHECK(bench.mates.noteSilent(bench.clock.now()).size() == 1);
-    CHECK(bench.mates.noteSilent(bench.clock.now()).empty());
+    CHECK(bench.mates.markSilent(bench.clock.now()).size() == 1);
+    CHECK(bench.mates.markSilent(bench.clock.now()).empty());
     CHECK(bench.mates.heard().empty());
-    CHECK(bench.take(beacon("a", 7, 2)).isBack);
+    CHECK(bench.take(beacon("a", 7, 2)).hasReturned);
 }
 
 TEST_CASE("a load report counts for the process whose beacon is known, and only when it is newer")
 {
     Bench bench;
-    CHECK_FALSE(bench.take(report("a", 7, 1)).isNews);
+    CHECK_FALSE(bench.take(report("a", 7, 1)).isNewer);
     bench.take(beacon("a", 7, 1));
-    CellReport later = report("a", 7, 2);
+    CellLoadReport later = report("a", 7, 2);
     later.loads = {{5, 3}};
-    CHECK(bench.take(later).isNews);
+    CHECK(bench.take(later).isNewer);
     CHECK(bench.mates.find(MemberId("a"))->report.loads == later.loads);
-    CHECK_FALSE(bench.take(later).isNews);
-    CHECK_FALSE(bench.take(report("a", 8, 3)).isNews);
-    CHECK_FALSE(bench.take(beacon("a", 7, 2)).isNews);
+    CHECK_FALSE(bench.take(later).isNewer);
+    CHECK_FALSE(bench.take(report("a", 8, 3)).isNewer);
+    CHECK_FALSE(bench.take(beacon("a", 7, 2)).isNewer);
 }
--- a/packages/fleetview/tests/apricothook_item_replica_tests.cpp
+++ b/packages/fleetview/tests/apricothook_item_replica_tests.cpp
@@ -68,12 +68,12 @@
     told.replica.apply({{written("c", "3", 9)}, false, 9});
     told.replica.apply({{{"a", std::nullopt, 10}}, false, 10});
     const ItemUpdate some = told.replica.since(9);
-    CHECK_FALSE(some.isWhole);
+    CHECK_FALSE(some.isSnapshot);
     CHECK(some.changes == std::vector<ItemChange> {{"a", std::nullopt, 10}});
     const ItemUpdate all = told.replica.since(2);
-    CHECK(all.isWhole);
+    CHECK(all.isSnapshot);
     CHECK(all.changes.size() == 2);
-    CHECK(told.replica.since(0).isWhole);
+    CHECK(told.replica.since(0).isSnapshot);
 
     Told peer;
     peer.replica.apply(all);
@@ -88,14 +88,14 @@
     // lacks is told whole, with the latest word of each item.
     Told told;
     told.replica.apply({{written("a", "1", 5), written("b", "1", 6)}, true, 6});
-    CHECK(told.replica.newsRevision() == 0);
-    CHECK(told.replica.toldRevision() == 6);
+    CHECK(told.replica.relevantRevision() == 0);
+    CHECK(told.replica.advertisedRevision() == 6);
     told.replica.apply({{written("a", told.beat, 7)}, false, 7});
     CHECK(told.replica.revision() == 7);
-    CHECK(told.replica.newsRevision() == 0);
+    CHECK(told.replica.relevantRevision() == 0);
     CHECK(told.replica.since(6).changes.empty());
     told.replica.apply({{written("b", "2", 8)}, false, 8});
-    CHECK(told.replica.newsRevision() == 8);
+    CHECK(told.replica.relevantRevision() == 8);
     CHECK(told.replica.since(6).changes == std::vector<ItemChange> {written("b", "2", 8)});
     CHECK(told.replica.since(0).changes
           == std::vector<ItemChange> {written("a", told.beat, 7), written("b", "2", 8)});
@@ -107,16 +107,16 @@
     told.replica.apply({{written("a", "1", 1)}, true, 1});
     for (Revision revision = 2; revision < 2 * ItemReplica::KeptChanges; ++revision)
         told.replica.apply({{written("a", std::to_string(revision), revision)}, false, revision});
-    CHECK(told.replica.since(3).isWhole);
+    CHECK(told.replica.since(3).isSnapshot);
     CHECK(told.replica.since(3).changes.size() == 1);
-    CHECK_FALSE(told.replica.since(2 * ItemReplica::KeptChanges - 10).isWhole);
+    CHECK_FALSE(told.replica.since(2 * ItemReplica::KeptChanges - 10).isSnapshot);
 }
 
 TEST_CASE("peers' messages about items are checked")
 {
-    CHECK(askedRevision(peerItemsPath(17)) == Revision(17));
-    CHECK_FALSE(askedRevision("/items?after=x"));
-    CHECK_FALSE(askedRevision("/metrics"));
+    CHECK(requestedRevision(peerItemsPath(17)) == Revision(17));
+    CHECK_FALSE(requestedRevision("/items?after=x"));
+    CHECK_FALSE(requestedRevision("/metrics"));
     for (const std::string text : {"", "[]", "{}", R"({"revision":1,"whole":true,"changes":[{}]})",
                                    R"({"revision":-1,"whole":true,"changes":[]})"})
         CHECK_FALSE(parseItemUpdate(text));
--- a/packages/fleetview/tests/apricothook_peer_datagram_tests.cpp
+++ b/packages/fleetview/tests/apricothook_peer_datagram_tests.cpp
@@ -1,6 +1,6 @@
 #include <apricothook/fleetview/apricothook_peer_datagram.hpp>
 
-#include <apricothook/testsupport/apricothook_repeatable_random.hpp>
+#include <apricothook/testsupport/apricothook_deterministic_random.hpp>
 
 #include <doctest/doctest.h>
 
@@ -8,7 +8,7 @@
 
 namespace {
 
-MemberBrief brief(const std::string &member)
+MemberInfo brief(const std::string &member)
 {
     return {.member = MemberId(member),
             .process = Incarnation(7),
@@ -22,7 +22,7 @@
             .age = 40};
 }
 
-CellReport report()
+CellLoadReport report()
 {
     return {.member = 9,
             .process = Incarnation(7),
@@ -32,17 +32,17 @@
 }
 
 const std::vector<PeerDatagram> All {
-    Beacon {brief("a"), 99, report()},
+    Heartbeat {brief("a"), 99, report()},
     report(),
     CellSummary {2, 8, 77, {brief("a"), brief("b")}},
-    Greeting {brief("a"), true, true, {brief("c")}},
-    UnitsAsk {{7, {"10.0.0.1", 1}}, 3, 4, 5000, 900, 200, true},
-    UnitsAnswer {7, 3, UnitsOutcome::Refused, 0, 60, 7000, 800, 90, {8, {"10.0.0.2", 1}}},
+    MemberGossip {brief("a"), true, true, {brief("c")}},
+    UnitsRequest {{7, {"10.0.0.1", 1}}, 3, 4, 5000, 900, 200, true},
+    UnitsReply {7, 3, UnitsOutcome::Refused, 0, 60, 7000, 800, 90, {8, {"10.0.0.2", 1}}},
     GrantorClaim {{7, {"10.0.0.1", 1}}, 5, 4, false},
     GrantorHandover {9, 5, 4, 6000},
     ReachProbe {{"10.0.0.1", 1}, 11},
-    ReachAnswer {11},
-    ReaderNote {brief("a"), 78},
+    ReachReply {11},
+    ReaderAnnouncement {brief("a"), 78},
     GrantorDenial {7, 5, 4},
 };
 
@@ -68,7 +68,7 @@
 TEST_CASE("what daemons of a cell tell each other often fits into small datagrams")
 {
     // A load report goes to each of eleven mates up to 40 times a second.
-    CellReport report;
+    CellLoadReport report;
     report.member = ~std::uint64_t {0};
     report.process = Incarnation(1700000000000);
     report.sequence = 100000;
@@ -84,12 +84,12 @@
     // Two of these go with nearly every request of a customer that has a limit.
     constexpr std::uint64_t Large = ~std::uint64_t {0};
     CHECK(writePeerDatagram(
-              UnitsAsk {{Large, {"10.0.0.1", 8704}}, Large, Large, 60'000, 60'000, 0, false})
+              UnitsRequest {{Large, {"10.0.0.1", 8704}}, Large, Large, 60'000, 60'000, 0, false})
               .size()
           <= 64);
     CHECK(
         writePeerDatagram(
-            UnitsAnswer {
+            UnitsReply {
                 Large, Large, UnitsOutcome::Granted, 60'000, 2'000'000, 2'000'000, 900'000, 0, {}})
             .size()
         <= 64);
@@ -97,7 +97,7 @@
 
 TEST_CASE("no bytes of a stranger bring the reader of datagrams down")
 {
-    RepeatableRandom random(20261202);
+    DeterministicRandom random(20261202);
     std::size_t read = 0;
     constexpr int Inputs = 20'000;
     for (int input = 0; input < Inputs; ++input) {
--- a/packages/fleetview/tests/apricothook_reading_duty_tests.cpp
+++ b/packages/fleetview/tests/apricothook_reader_selection_tests.cpp
@@ -1,6 +1,6 @@
-#include <apricothook/fleetview/apricothook_reading_duty.hpp>
+#include <apricothook/fleetview/apricothook_reader_selection.hpp>
 
-#include <apricothook/testsupport/apricothook_hand_clock.hpp>
+#include <apricothook/testsupport/apricothook_manual_clock.hpp>
 
 #include <doctest/doctest.h>
 
@@ -11,9 +11,9 @@
 
 namespace {
 
-MemberBrief brief(std::size_t index)
+MemberInfo brief(std::size_t index)
 {
-    MemberBrief made;
+    MemberInfo made;
     made.member = MemberId("vm-" + std::to_string(index));
     made.beaconAddress = {"10.0.0.1", static_cast<std::uint16_t>(index + 1)};
     made.isReady = true;
@@ -40,14 +40,14 @@
     {
         for (std::size_t index = 0; index < m_directories.size(); ++index) {
             for (std::size_t other = 0; other < m_directories.size(); ++other)
-                m_directories[index].take(told(other), m_clock.now());
+                m_directories[index].update(told(other), m_clock.now());
             m_directories[index].review(m_clock.now());
         }
         for (std::size_t index = 0; index < m_directories.size(); ++index) {
             if (m_silent == index || !isFleetReader(index))
                 continue;
             for (const Endpoint &to : m_directories[index].readersOfOtherCells(m_clock.now()))
-                m_duties[to.port - 1U].note({told(index), 1}, m_clock.now());
+                m_duties[to.port - 1U].recordAnnouncement({told(index), 1}, m_clock.now());
         }
     }
     void pass(std::chrono::milliseconds time)
@@ -60,7 +60,7 @@
         std::size_t count = 0;
         for (std::size_t index = 0; index < m_directories.size(); ++index) {
             const bool reads
-                = m_duties[index].isToRead(m_directories[index], told(index), m_clock.now());
+                = m_duties[index].shouldRead(m_directories[index], told(index), m_clock.now());
             count += reads ? 1 : 0;
         }
         return count;
@@ -77,9 +77,9 @@
     void silence(std::size_t index) { m_silent = index; }
 
 private:
-    MemberBrief told(std::size_t index) const
+    MemberInfo told(std::size_t index) const
     {
-        MemberBrief made = brief(index);
+        MemberInfo made = brief(index);
         made.hasLostSource = m_isLost[index];
         made.reachesSource = !made.hasLostSource;
         return made;
@@ -89,9 +89,9 @@
         return m_directories[index].isFleetReader(told(index), m_clock.now());
     }
 
-    HandClock m_clock;
+    ManualClock m_clock;
     std::vector<FleetDirectory> m_directories;
-    std::vector<ReadingDuty> m_duties;
+    std::vector<ReaderSelection> m_duties;
     std::vector<bool> m_isLost;
     std::optional<std::size_t> m_silent;
 };
@@ -115,15 +115,15 @@
     // member of another cell takes seconds, but its notes stop at once.
     Fleet fleet(195);
     fleet.silence(fleet.firstFleetReader());
-    fleet.pass(ReadingDuty::NotePause);
+    fleet.pass(ReaderSelection::AnnouncementInterval);
     CHECK(fleet.readers() == FleetDirectory::ReadersOfFleet);
-    fleet.pass(ReadingDuty::SilenceLimit);
+    fleet.pass(ReaderSelection::SilenceLimit);
     // Two of three are still heard.
     CHECK(fleet.readers() == FleetDirectory::ReadersOfFleet);
-    ReadingDuty unheard;
-    HandClock clock;
-    CHECK(unheard.reaching(clock.now()) == 0);
-    CHECK_FALSE(unheard.contact(clock.now()).someReach);
+    ReaderSelection unheard;
+    ManualClock clock;
+    CHECK(unheard.reachableReaders(clock.now()) == 0);
+    CHECK_FALSE(unheard.sourceReachability(clock.now()).anyReachable);
 }
 
 TEST_CASE("a reader of the fleet that lost the source is replaced by the next")
@@ -131,7 +131,7 @@
     Fleet fleet(195);
     const std::size_t first = fleet.firstFleetReader();
     fleet.lose(first);
-    fleet.pass(ReadingDuty::NotePause);
+    fleet.pass(ReaderSelection::AnnouncementInterval);
     CHECK(fleet.firstFleetReader() != first);
     // Its own cell lets one more read, as the source may turn its successor away.
     CHECK(fleet.readers() <= FleetDirectory::ReadersOfFleet + FleetDirectory::ReadersOfCell);
@@ -139,16 +139,16 @@
 
 TEST_CASE("what readers of the fleet tell counts for a second, and then for nothing")
 {
-    HandClock clock;
-    ReadingDuty duty;
-    MemberBrief lost = brief(2);
+    ManualClock clock;
+    ReaderSelection duty;
+    MemberInfo lost = brief(2);
     lost.reachesSource = false;
     lost.hasLostSource = true;
-    duty.note({brief(1), 5}, clock.now());
-    duty.note({lost, 5}, clock.now());
-    CHECK(duty.reaching(clock.now()) == 1);
-    CHECK(duty.contact(clock.now()) == SourceContact {true, true});
-    clock.advance(ReadingDuty::SilenceLimit + std::chrono::milliseconds(1));
-    CHECK(duty.reaching(clock.now()) == 0);
-    CHECK(duty.contact(clock.now()) == SourceContact {false, false});
+    duty.recordAnnouncement({brief(1), 5}, clock.now());
+    duty.recordAnnouncement({lost, 5}, clock.now());
+    CHECK(duty.reachableReaders(clock.now()) == 1);
+    CHECK(duty.sourceReachability(clock.now()) == SourceReachability {true, true});
+    clock.advance(ReaderSelection::SilenceLimit + std::chrono::milliseconds(1));
+    CHECK(duty.reachableReaders(clock.now()) == 0);
+    CHECK(duty.sourceReachability(clock.now()) == SourceReachability {false, false});
 }
--- a/packages/fleetview/tests/apricothook_source_outage_tests.cpp
+++ b/packages/fleetview/tests/apricothook_source_outage_tests.cpp
@@ -1,6 +1,6 @@
 #include <apricothook/fleetview/apricothook_source_outage.hpp>
 
-#include <apricothook/testsupport/apricothook_hand_clock.hpp>
+#include <apricothook/testsupport/apricothook_manual_clock.hpp>
 
 #include <doctest/doctest.h>
 
@@ -8,24 +8,24 @@
 
 TEST_CASE("removals are doubtful in an outage and until targets have registered again")
 {
-    HandClock clock;
+    ManualClock clock;
     SourceOutage outage;
-    CHECK_FALSE(outage.mayHaveLapsed(clock.now()));
+    CHECK_FALSE(outage.mayHaveExpired(clock.now()));
     outage.note({false, true}, clock.now());
     clock.advance(std::chrono::seconds(4));
-    CHECK(outage.mayHaveLapsed(clock.now()));
+    CHECK(outage.mayHaveExpired(clock.now()));
     outage.note({true, false}, clock.now());
     clock.advance(std::chrono::milliseconds(2400));
-    CHECK(outage.mayHaveLapsed(clock.now()));
+    CHECK(outage.mayHaveExpired(clock.now()));
     clock.advance(std::chrono::milliseconds(200));
-    CHECK_FALSE(outage.mayHaveLapsed(clock.now()));
+    CHECK_FALSE(outage.mayHaveExpired(clock.now()));
 }
 
 TEST_CASE("a daemon that has asked nothing yet makes no outage")
 {
-    HandClock clock;
+    ManualClock clock;
     SourceOutage outage;
     outage.note({false, false}, clock.now());
     clock.advance(std::chrono::seconds(4));
-    CHECK_FALSE(outage.mayHaveLapsed(clock.now()));
+    CHECK_FALSE(outage.mayHaveExpired(clock.now()));
 }
--- a/packages/gateway/apricothook/gateway/apricothook_caller_connection.cpp
+++ b/packages/gateway/apricothook/gateway/apricothook_caller_connection.cpp
@@ -124,7 +124,7 @@
     ReceivedRequest request {m_reader.head(), m_reader.takeBody(), m_begun};
     m_reader = RequestReader(m_handler.messageLimits());
     m_headDone = false;
-    m_keeps = request.head.keepsConnection;
+    m_keeps = request.head.isKeepAlive;
     m_isHeadRequest = request.head.method == "HEAD";
     m_answering = true;
     m_request = &m_handler.begin(std::move(request), *this);
@@ -199,14 +199,14 @@
 void CallerConnection::refuseAndLinger(unsigned status)
 {
     if (status != 0) {
-        ResponseHead head = m_handler.dialect().ownAnswer(status, RequestKey(), std::nullopt);
+        ResponseHead head = m_handler.dialect().localResponse(status, RequestKey(), std::nullopt);
         head.headers.set("Connection", "close");
         m_socket.send(writeResponseHead(head, {BodyFraming::Kind::Sized, 0}));
     }
     // Closing with unread bytes resets the connection, and the caller would lose the answer.
     m_lingering = true;
     m_early.clear();
-    m_socket.finishSending();
+    m_socket.shutdownSend();
     m_socket.setReading(true);
     setTimer(LingerTime, &CallerConnection::close);
 }
@@ -232,7 +232,7 @@
         m_request->onCallerDrained();
 }
 
-void CallerConnection::onEnd(SocketEnd)
+void CallerConnection::onEnd(CloseReason)
 {
     if (m_request) {
         m_answering = false;
--- a/packages/gateway/apricothook/gateway/apricothook_caller_connection.hpp
+++ b/packages/gateway/apricothook/gateway/apricothook_caller_connection.hpp
@@ -37,7 +37,7 @@
     static constexpr std::chrono::milliseconds LingerTime {1000};
 
     void onData(std::string_view bytes) override;
-    void onEnd(SocketEnd end) override;
+    void onEnd(CloseReason end) override;
     void onDrained() override;
 
     void sendHead(const ResponseHead &head, BodyFraming body) override;
--- a/packages/gateway/apricothook/gateway/apricothook_caller_responder.hpp
+++ b/packages/gateway/apricothook/gateway/apricothook_caller_responder.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <apricothook/gateway/apricothook_wire_dialect.hpp>
+#include <apricothook/gateway/apricothook_wire_protocol.hpp>
 #include <apricothook/http1/apricothook_message_reader.hpp>
 #include <apricothook/model/apricothook_time.hpp>
 
@@ -55,7 +55,7 @@
     virtual MessageLimits messageLimits() const = 0;
     virtual Duration headTimeout() const = 0;
     virtual Duration idleTimeout() const = 0;
-    virtual const WireDialect &dialect() const = 0;
+    virtual const WireProtocol &dialect() const = 0;
     /** Connections must not be kept, as the process is about to leave. */
     virtual bool isLeaving() const = 0;
 };
--- a/packages/gateway/apricothook/gateway/apricothook_channel_pool.cpp
+++ b/packages/gateway/apricothook/gateway/apricothook_channel_pool.cpp
@@ -12,7 +12,7 @@
 
 } // namespace
 
-ChannelPool::ChannelPool(EventLoop &loop, const WireDialect &dialect, LogWriter &log)
+ChannelPool::ChannelPool(EventLoop &loop, const WireProtocol &dialect, LogWriter &log)
     : m_loop(loop), m_dialect(dialect), m_log(log)
 {
     scheduleSweep();
@@ -44,7 +44,7 @@
 TargetChannel &ChannelPool::acquire(const TargetEntry &target, bool mayRunAgain)
 {
     std::vector<TargetChannel *> &idle = m_idle[target.id];
-    if (!idle.empty() && idle.back()->target().start() == target.start()
+    if (!idle.empty() && idle.back()->target().instance() == target.instance()
         && idle.back()->target().address == target.address && isUsable(*idle.back(), mayRunAgain)) {
         TargetChannel &channel = *idle.back();
         idle.pop_back();
--- a/packages/gateway/apricothook/gateway/apricothook_channel_pool.hpp
+++ b/packages/gateway/apricothook/gateway/apricothook_channel_pool.hpp
@@ -23,7 +23,7 @@
      */
     static constexpr std::chrono::milliseconds FreshLimit {1000};
 
-    ChannelPool(EventLoop &loop, const WireDialect &dialect, LogWriter &log);
+    ChannelPool(EventLoop &loop, const WireProtocol &dialect, LogWriter &log);
     ~ChannelPool() override;
     ChannelPool(const ChannelPool &) = delete;
     ChannelPool &operator=(const ChannelPool &) = delete;
@@ -45,7 +45,7 @@
     void scheduleSweep();
 
     EventLoop &m_loop;
-    const WireDialect &m_dialect;
+    const WireProtocol &m_dialect;
     LogWriter &m_log;
     Channels m_channels;
     /** The last one was used last; using it first lets the others grow old and close. */
--- a/packages/gateway/apricothook/gateway/apricothook_crash_watch.cpp
+++ b/packages/gateway/apricothook/gateway/apricothook_crash_watch.cpp
@@ -30,7 +30,7 @@
 private:
     void onConnected() override { m_isConnected = true; }
     void onData(std::string_view) override { }
-    void onEnd(SocketEnd) override { m_isConnected = false; }
+    void onEnd(CloseReason) override { m_isConnected = false; }
 
     EventLoop &m_loop;
     bool m_isConnected = false;
@@ -47,15 +47,15 @@
 
 void CrashWatch::noteDropped(const TargetEntry &target, Fingerprint request)
 {
-    std::unique_ptr<Probe> &probe = m_probes[target.start()];
+    std::unique_ptr<Probe> &probe = m_probes[target.instance()];
     if (!probe) {
         probe = std::make_unique<Probe>(m_loop, target.address,
-                                        [this, start = target.start()] { judge(start); });
+                                        [this, start = target.instance()] { judge(start); });
     }
     probe->dropped.push_back(request);
 }
 
-void CrashWatch::judge(const TargetStart &target)
+void CrashWatch::judge(const TargetInstance &target)
 {
     const auto found = m_probes.find(target);
     const std::unique_ptr<Probe> probe = std::move(found->second);
--- a/packages/gateway/apricothook/gateway/apricothook_crash_watch.hpp
+++ b/packages/gateway/apricothook/gateway/apricothook_crash_watch.hpp
@@ -36,11 +36,11 @@
 private:
     class Probe;
 
-    void judge(const TargetStart &target);
+    void judge(const TargetInstance &target);
 
     EventLoop &m_loop;
     const Crashed m_crashed;
-    std::map<TargetStart, std::unique_ptr<Probe>> m_probes;
+    std::map<TargetInstance, std::unique_ptr<Probe>> m_probes;
 };
 
 } // namespace Apricothook
--- a/packages/gateway/apricothook/gateway/apricothook_forwarded_answer.cpp
+++ b/packages/gateway/apricothook/gateway/apricothook_forwarded_answer.cpp
@@ -36,11 +36,11 @@
     return m_admitted.route->isStream && m_attempt && m_attempt->head.status == HttpStatus::Ok;
 }
 
-void ForwardedRequest::onAnswerHead(const ResponseHead &head, const TargetVerdict &verdict)
+void ForwardedRequest::onAnswerHead(const ResponseHead &head, const TargetResponseFields &verdict)
 {
     m_attempt->hasHead = true;
     m_attempt->head = head;
-    if (verdict.isOtherTarget || verdict.isNotRun) {
+    if (verdict.isMisdirected || verdict.isNotRun) {
         m_attempt->isNotRun = true;
         return;
     }
@@ -86,7 +86,7 @@
     m_progress = Progress::Head;
     m_status = m_attempt->head.status;
     m_firstAnswer = m_context.loop.now();
-    m_responder.sendHead(m_context.dialect.callerAnswer(m_attempt->head), framing);
+    m_responder.sendHead(m_context.dialect.callerResponse(m_attempt->head), framing);
 }
 
 void ForwardedRequest::passEvents(std::string_view bytes)
@@ -96,9 +96,9 @@
         return;
     const Instant now = m_context.loop.now();
     if (!std::exchange(m_attempt->hasFirstEvent, true)) {
-        m_context.targets.firstEvent(m_attempt->target.start(), m_admitted.size,
-                                     now - m_attempt->started);
-    } else if (BelievedTarget *target = m_context.targets.find(m_attempt->target.start())) {
+        m_context.targets.firstEventReceived(m_attempt->target.instance(), m_admitted.size,
+                                             now - m_attempt->started);
+    } else if (TrackedTarget *target = m_context.targets.find(m_attempt->target.instance())) {
         target->speed.addGap((now - m_attempt->lastEvent) / static_cast<int>(events.count));
     }
     m_attempt->lastEvent = now;
@@ -108,7 +108,7 @@
     m_lastEvent = events.lastId ? events.lastId : m_lastEvent;
     if (m_responder.unsentBytes() > MostUnsentBytes)
         m_attempt->channel->setReading(false);
-    if (m_admitted.route->mayRunAgain())
+    if (m_admitted.route->isRetryable())
         watchSilence(
             std::max<Duration>(ShortestStall, StallFactor * m_admitted.route->gapObjective));
 }
--- a/packages/gateway/apricothook/gateway/apricothook_forwarded_request.cpp
+++ b/packages/gateway/apricothook/gateway/apricothook_forwarded_request.cpp
@@ -50,7 +50,7 @@
 void ForwardedRequest::begin()
 {
     const Result<void, AdmissionRefusal> admitted = admit(m_received, m_context, m_admitted);
-    m_lastEvent = m_admitted.fields.lastEvent;
+    m_lastEvent = m_admitted.fields.lastEventId;
     if (!admitted) {
         const AdmissionRefusal &refusal = admitted.error();
         answerOwn(refusal.end, refusal.status, refusal.retryAfter);
@@ -86,7 +86,7 @@
         start();
         return;
     }
-    const std::optional<LimitVerdict> verdict = m_context.limits.take(
+    const std::optional<LimitDecision> verdict = m_context.limits.take(
         m_id, *m_admitted.customer, limitClaim(m_context, m_admitted), m_arrived);
     m_waitsForUnits = !verdict;
     if (verdict)
@@ -102,7 +102,7 @@
     offer();
 }
 
-void ForwardedRequest::limitDecided(const LimitVerdict &verdict)
+void ForwardedRequest::limitDecided(const LimitDecision &verdict)
 {
     m_waitsForUnits = false;
     m_limit = verdict;
@@ -121,9 +121,9 @@
 void ForwardedRequest::stopWaiting()
 {
     if (std::exchange(m_waiting, false))
-        m_context.dispatcher.withdraw(m_id);
+        m_context.dispatcher.cancel(m_id);
     if (std::exchange(m_waitsForUnits, false))
-        m_context.limits.withdraw(m_id);
+        m_context.limits.cancel(m_id);
 }
 
 void ForwardedRequest::offer()
@@ -132,18 +132,18 @@
     const bool isFirst = m_sends == 0;
     const Instant now = m_context.loop.now();
     m_rank = rankOf(m_context, m_admitted);
-    m_context.dispatcher.offer({.exchange = m_id,
-                                .service = m_admitted.service,
-                                .rank = m_rank,
-                                .size = m_admitted.size,
-                                .arrived = isFirst ? m_arrived : now,
-                                .objective = m_admitted.route->objective,
-                                .deadline = m_admitted.deadline,
-                                .excluded = m_tried},
-                               now);
+    m_context.dispatcher.submit({.exchange = m_id,
+                                 .service = m_admitted.service,
+                                 .rank = m_rank,
+                                 .size = m_admitted.size,
+                                 .arrived = isFirst ? m_arrived : now,
+                                 .objective = m_admitted.route->objective,
+                                 .deadline = m_admitted.deadline,
+                                 .excluded = m_tried},
+                                now);
 }
 
-void ForwardedRequest::refused(const RefusalFacts &facts)
+void ForwardedRequest::refused(const RefusalDetails &facts)
 {
     m_waiting = false;
     m_refusal = facts;
@@ -157,10 +157,10 @@
 {
     m_waiting = false;
     const Instant now = m_context.loop.now();
-    const BelievedTarget *believed = m_context.targets.find(target.id);
+    const TrackedTarget *believed = m_context.targets.find(target.id);
     m_context.log.write(LogEvent(GatewayEvent::RequestPlaced)
-                            .isRoutine()
-                            .about(m_admitted.fields.id)
+                            .markRoutine()
+                            .forRequest(m_admitted.fields.id)
                             .with("target", target.id.text())
                             .with("own_load", believed ? believed->ownRequests : 0)
                             .with("others_load", believed ? believed->requestsOfOthers : 0)
@@ -176,10 +176,10 @@
     send(target);
 }
 
-void ForwardedRequest::targetRestarted(const TargetStart &present)
+void ForwardedRequest::targetRestarted(const TargetInstance &present)
 {
-    const bool isLost
-        = m_attempt && m_attempt->target.id == present.id && m_attempt->target.start() != present;
+    const bool isLost = m_attempt && m_attempt->target.id == present.id
+        && m_attempt->target.instance() != present;
     if (!isLost)
         return;
     // The former start's connection may stay open and silent; without this its caller would wait
@@ -192,13 +192,13 @@
 void ForwardedRequest::send(const TargetEntry &target)
 {
     ++m_sends;
-    m_tried.insert(target.start());
+    m_tried.insert(target.instance());
     const Instant now = m_context.loop.now();
     const TargetRequestFields fields {
-        .patience = std::max(m_admitted.deadline - now, Duration::zero()),
+        .timeout = std::max(m_admitted.deadline - now, Duration::zero()),
         .target = target.id,
         .customer = m_admitted.customer ? m_admitted.customer->name : CustomerId(),
-        .lastEvent = m_lastEvent,
+        .lastEventId = m_lastEvent,
     };
     const RequestHead head = m_context.dialect.targetRequest(m_received.head, fields);
     const bool hasBody = !m_received.body.empty() || m_received.head.headers.find("Content-Length")
@@ -210,18 +210,18 @@
     m_attempt->target = target;
     m_attempt->started = now;
     m_attempt->lastEvent = now;
-    m_attempt->channel = &m_context.channels.acquire(target, m_admitted.route->mayRunAgain());
+    m_attempt->channel = &m_context.channels.acquire(target, m_admitted.route->isRetryable());
     m_attempt->channel->start(m_admitted.fields.id,
                               writeRequestHead(head, framing) + m_received.body,
                               m_received.head.method == "HEAD", *this);
-    if (m_admitted.route->mayRunAgain())
+    if (m_admitted.route->isRetryable())
         watchSilence(firstEventLimit());
 }
 
 Duration ForwardedRequest::firstEventLimit() const
 {
     const Duration expected
-        = m_context.targets.expectedFirstEvent(m_admitted.service, m_admitted.size);
+        = m_context.targets.expectedTimeToFirstEvent(m_admitted.service, m_admitted.size);
     return std::max(m_admitted.route->objective, SilenceFactor * expected);
 }
 
@@ -231,7 +231,7 @@
     m_attempt->silence = m_context.loop.after(limit, [this, limit] {
         m_attempt->silence = 0;
         // Without another target the request stays where it is: a late answer is still one.
-        if (!m_admitted.route->mayRunAgain() || m_runs + 1 >= m_admitted.route->maximumAttempts
+        if (!m_admitted.route->isRetryable() || m_runs + 1 >= m_admitted.route->maximumAttempts
             || !mayTryAgain()) {
             watchSilence(limit);
             return;
@@ -248,7 +248,7 @@
 {
     const Instant now = m_context.loop.now();
     m_context.log.write(LogEvent(GatewayEvent::AttemptFailed)
-                            .about(m_admitted.fields.id)
+                            .forRequest(m_admitted.fields.id)
                             .with("target", m_attempt->target.id.text())
                             .with("cause", std::string(cause))
                             .with("status", m_attempt->head.status)
@@ -270,7 +270,7 @@
 {
     const Instant now = m_context.loop.now();
     const bool allowed = m_context.policies.repeats
-        && (!m_mayHaveRun || m_admitted.route->mayRunAgain()) && m_sends < MostSends
+        && (!m_mayHaveRun || m_admitted.route->isRetryable()) && m_sends < MostSends
         && m_runs < std::max(m_admitted.route->maximumAttempts, 1U)
         && m_admitted.deadline - now > LeastTimeToTry
         && !m_context.suspects->quarantine(m_fingerprint);
@@ -281,20 +281,20 @@
 
 bool ForwardedRequest::takeRetry(Instant now)
 {
-    const RetryVerdict verdict
+    const RetryDecision verdict
         = m_context.retriesOf(m_admitted.service).tryTake(now, m_context.fleetSize);
     LogEvent line(verdict.isGranted ? GatewayEvent::RetryGranted : GatewayEvent::RetryDenied);
-    line.about(m_admitted.fields.id)
+    line.forRequest(m_admitted.fields.id)
         .with("service", m_admitted.service.text())
         .with("attempt", m_sends)
         .with("window_requests", verdict.requests)
-        .with("window_repeats", verdict.repeats)
+        .with("window_repeats", verdict.retries)
         .with("window_allowed", verdict.allowed)
         .with("fleet_size", verdict.daemons);
     if (verdict.isGranted)
-        line.isRoutine();
+        line.markRoutine();
     m_context.log.write(line);
-    m_context.metrics.repeatDecided(m_admitted.service, verdict.isGranted);
+    m_context.metrics.retryDecided(m_admitted.service, verdict.isGranted);
     return verdict.isGranted;
 }
 
@@ -303,12 +303,12 @@
     m_context.loop.cancel(m_attempt->silence);
     const Instant now = m_context.loop.now();
     if (outcome == TargetOutcome::Served)
-        m_context.suspects->noteAnswered(m_fingerprint);
-    m_context.targets.ended(m_attempt->target.start(), m_admitted.size, outcome,
-                            now - m_attempt->started, m_attempt->hasFirstEvent, now);
+        m_context.suspects->recordAnswer(m_fingerprint);
+    m_context.targets.requestEnded(m_attempt->target.instance(), m_admitted.size, outcome,
+                                   now - m_attempt->started, m_attempt->hasFirstEvent, now);
     if (outcome == TargetOutcome::Served)
-        m_context.urgency.noteHold(m_admitted.service, m_admitted.route->name,
-                                   m_admitted.route->tier, now - m_attempt->started);
+        m_context.urgency.recordHoldTime(m_admitted.service, m_admitted.route->name,
+                                         m_admitted.route->tier, now - m_attempt->started);
     m_attempt.reset();
     m_context.roomFreed();
 }
@@ -343,7 +343,7 @@
     if (m_attempt) {
         m_mayHaveRun = true;
         m_attempt->channel->cancel();
-        endAttempt(m_attempt->hasFirstEvent ? TargetOutcome::Withdrawn
+        endAttempt(m_attempt->hasFirstEvent ? TargetOutcome::Cancelled
                                             : TargetOutcome::Unreachable);
     }
     stopWaiting();
@@ -364,7 +364,7 @@
         const bool wasSilent
             = !m_attempt->hasHead && m_context.loop.now() - m_attempt->started > firstEventLimit();
         m_attempt->channel->cancel();
-        endAttempt(wasSilent ? TargetOutcome::Unreachable : TargetOutcome::Withdrawn);
+        endAttempt(wasSilent ? TargetOutcome::Unreachable : TargetOutcome::Cancelled);
     }
     m_progress = Progress::Ended;
     m_context.loop.cancel(m_deadlineTimer);
@@ -381,7 +381,7 @@
                                  std::optional<Duration> retryAfter)
 {
     m_status = status;
-    m_responder.sendHead(m_context.dialect.ownAnswer(status, m_admitted.fields.id, retryAfter),
+    m_responder.sendHead(m_context.dialect.localResponse(status, m_admitted.fields.id, retryAfter),
                          {BodyFraming::Kind::Sized, 0});
     finish(end);
 }
--- a/packages/gateway/apricothook/gateway/apricothook_forwarded_request.hpp
+++ b/packages/gateway/apricothook/gateway/apricothook_forwarded_request.hpp
@@ -33,11 +33,11 @@
     ExchangeId id() const { return m_id; }
     void begin();
     void placed(const TargetEntry &target);
-    void refused(const RefusalFacts &facts);
+    void refused(const RefusalDetails &facts);
     /** The customer's limit has the request's units, or not. */
-    void limitDecided(const LimitVerdict &verdict);
+    void limitDecided(const LimitDecision &verdict);
     /** What an earlier start of the target had of the request is lost with it. */
-    void targetRestarted(const TargetStart &present);
+    void targetRestarted(const TargetInstance &present);
     void onCallerGone() override;
     void onCallerDrained() override;
 
@@ -45,7 +45,7 @@
     /** What the caller has of the answer. */
     enum class Progress { Nothing, Head, Ended };
 
-    void onAnswerHead(const ResponseHead &head, const TargetVerdict &verdict) override;
+    void onAnswerHead(const ResponseHead &head, const TargetResponseFields &verdict) override;
     void onAnswerBody(std::string_view bytes) override;
     void onAnswerComplete() override;
     void onAnswerFailed(ChannelFailure failure) override;
@@ -95,7 +95,7 @@
     unsigned m_runs = 0;
     unsigned m_sends = 0;
     unsigned m_status = 0;
-    std::set<TargetStart> m_tried;
+    std::set<TargetInstance> m_tried;
     std::optional<Attempt> m_attempt;
     /** A failure of a target that is passed on if nothing better comes. */
     std::optional<Attempt> m_failedAnswer;
@@ -103,8 +103,8 @@
     std::optional<std::uint64_t> m_lastEvent;
     std::optional<Instant> m_firstAnswer;
     /** Set when the dispatcher found no room. */
-    std::optional<RefusalFacts> m_refusal;
-    std::optional<LimitVerdict> m_limit;
+    std::optional<RefusalDetails> m_refusal;
+    std::optional<LimitDecision> m_limit;
 };
 
 } // namespace Apricothook
--- a/packages/gateway/apricothook/gateway/apricothook_gateway.cpp
+++ b/packages/gateway/apricothook/gateway/apricothook_gateway.cpp
@@ -6,18 +6,18 @@
 
 namespace Apricothook {
 
-Gateway::Gateway(EventLoop &loop, const WireDialect &dialect, RandomSource &random, LogWriter &log,
+Gateway::Gateway(EventLoop &loop, const WireProtocol &dialect, RandomSource &random, LogWriter &log,
                  Metrics &metrics, const FleetBounds &bounds, const DataCentreId &dataCentre,
                  const PolicySwitches &policies, const LimitPeer &self)
     : m_loop(loop)
     , m_bounds(bounds)
-    , m_targets(dataCentre, policies, ColdGuard(self.member, bounds))
+    , m_targets(dataCentre, policies, ColdTargetLimiter(self.member, bounds))
     , m_limits(m_bounds, self, *this, *this, *this, random)
     , m_dispatcher(m_targets, *this, policies)
     , m_channels(loop, dialect, log)
     , m_crashes(loop,
                 [this](const TargetId &target, const std::vector<Fingerprint> &requests) {
-                    m_context.suspects->noteCrash(target, requests);
+                    m_context.suspects->recordCrash(target, requests);
                 })
     , m_context {.loop = loop,
                  .dialect = dialect,
@@ -41,8 +41,8 @@
                  .urgency = {},
                  .sizes = {},
                  .limitReserve = {},
-                 .limitAsked = [this] { scheduleLimits(); },
-                 .roomFreed = [this] { reviewSoon(); }}
+                 .limitAsked = [this] { scheduleLimitReview(); },
+                 .roomFreed = [this] { scheduleReview(); }}
 {
     m_limits.setFleet({{{self, 1, false}}, 1, true, std::nullopt}, loop.now());
     setFleetSize(1);
@@ -59,7 +59,7 @@
     m_limitMessenger = &messenger;
     m_limits.setFleet({{}, 1, false, std::nullopt}, m_loop.now());
     setFleetSize(std::nullopt);
-    m_targets.setColdFleet({});
+    m_targets.setColdTargetSenders({});
 }
 
 Result<void, ListenError> Gateway::listen(const Endpoint &address)
@@ -100,17 +100,17 @@
 
 void Gateway::putTarget(const TargetEntry &target)
 {
-    const BelievedTarget *known = m_targets.find(target.id);
-    const bool isRestarted = known && known->entry.start() != target.start();
+    const TrackedTarget *known = m_targets.find(target.id);
+    const bool isRestarted = known && known->entry.instance() != target.instance();
     m_targets.put(target, m_loop.now());
     if (target.isDraining || isRestarted)
         m_channels.forget(target.id);
     if (isRestarted)
-        targetRestarted(target.start());
-    reviewSoon();
+        targetRestarted(target.instance());
+    scheduleReview();
 }
 
-void Gateway::targetRestarted(const TargetStart &present)
+void Gateway::targetRestarted(const TargetInstance &present)
 {
     std::vector<ForwardedRequest *> open;
     for (const auto &[id, exchange] : m_exchanges)
@@ -129,7 +129,7 @@
 void Gateway::setEvacuated(const DataCentreId &dataCentre, bool isEvacuated)
 {
     m_targets.setEvacuated(dataCentre, isEvacuated, m_loop.now());
-    reviewSoon();
+    scheduleReview();
 }
 
 void Gateway::stopListening()
@@ -180,14 +180,14 @@
         m_loadChanged();
 }
 
-void Gateway::onRefused(ExchangeId exchange, const RefusalFacts &facts)
+void Gateway::onRefused(ExchangeId exchange, const RefusalDetails &facts)
 {
     const auto found = m_exchanges.find(exchange.value());
     if (found != m_exchanges.end())
         found->second->refused(facts);
 }
 
-void Gateway::onLimitDecided(ExchangeId exchange, const LimitVerdict &verdict)
+void Gateway::onLimitDecided(ExchangeId exchange, const LimitDecision &verdict)
 {
     const auto found = m_exchanges.find(exchange.value());
     if (found != m_exchanges.end())
@@ -199,7 +199,7 @@
     CustomerId name;
     if (m_context.routes) {
         for (const CustomerRule &rule : m_context.routes->configuration().customers)
-            name = customerNumber(rule.name) == customer ? rule.name : name;
+            name = customerHash(rule.name) == customer ? rule.name : name;
     }
     m_context.log.write(LogEvent(GatewayEvent::GrantorChanged)
                             .with("customer", name.text())
@@ -214,7 +214,7 @@
         m_limitMessenger->send(to, message);
 }
 
-void Gateway::scheduleLimits()
+void Gateway::scheduleLimitReview()
 {
     m_loop.cancel(m_limitTimer);
     const std::optional<Instant> next = m_limits.nextReview();
@@ -224,11 +224,11 @@
     m_limitTimer = m_loop.after(wait, [this] {
         m_limitTimer = 0;
         m_limits.review(m_loop.now());
-        scheduleLimits();
+        scheduleLimitReview();
     });
 }
 
-void Gateway::reviewSoon()
+void Gateway::scheduleReview()
 {
     if (m_loadChanged)
         m_loadChanged();
@@ -242,8 +242,8 @@
     m_reviewPending = false;
     m_dispatcher.review(m_loop.now());
     m_loop.cancel(m_refusalTimer);
-    if (const std::optional<Instant> next = m_dispatcher.nextRefusal())
-        m_refusalTimer = m_loop.after(*next - m_loop.now(), [this] { reviewSoon(); });
+    if (const std::optional<Instant> next = m_dispatcher.nextTimeout())
+        m_refusalTimer = m_loop.after(*next - m_loop.now(), [this] { scheduleReview(); });
 }
 
 } // namespace Apricothook
--- a/packages/gateway/apricothook/gateway/apricothook_gateway.hpp
+++ b/packages/gateway/apricothook/gateway/apricothook_gateway.hpp
@@ -18,7 +18,7 @@
                 private LimitMessenger
 {
 public:
-    Gateway(EventLoop &loop, const WireDialect &dialect, RandomSource &random, LogWriter &log,
+    Gateway(EventLoop &loop, const WireProtocol &dialect, RandomSource &random, LogWriter &log,
             Metrics &metrics, const FleetBounds &bounds, const DataCentreId &dataCentre,
             const PolicySwitches &policies = {}, const LimitPeer &self = {});
     ~Gateway() override;
@@ -40,9 +40,9 @@
     void setEvacuated(const DataCentreId &dataCentre, bool isEvacuated);
 
     /** From now on every answer ends its connection. */
-    void startLeaving() { m_leaving = true; }
+    void startDraining() { m_leaving = true; }
     /** New requests are refused as not run: they would outlive the process. */
-    void refuseNew() { m_context.refusesNew = true; }
+    void refuseNewRequests() { m_context.refusesNew = true; }
     /** No new connections; those that carry nothing are closed. */
     void stopListening();
     std::size_t openRequests() const { return m_exchanges.size(); }
@@ -50,17 +50,17 @@
 
     TargetTable &targets() { return m_targets; }
     Dispatcher &dispatcher() { return m_dispatcher; }
-    FleetLimits &limits() { return m_limits; }
+    CustomerRateLimiter &limits() { return m_limits; }
     /** Without one, this daemon takes itself for alone. */
     void setLimitMessenger(LimitMessenger &messenger);
     /** Without one, no request is suspected of crashing targets. */
     void setSuspectGuard(SuspectGuard &guard) { m_context.suspects = &guard; }
     /** To be called when the limits were told something. */
-    void scheduleLimits();
+    void scheduleLimitReview();
     /** `changed` is called when this daemon's load or waiting requests have changed. */
     void setLoadListener(std::function<void()> changed) { m_loadChanged = std::move(changed); }
     /** Looks for room for what waits, after the present event. */
-    void reviewSoon();
+    void scheduleReview();
 
 private:
     CallerRequestEvents &begin(ReceivedRequest request, CallerResponder &responder) override;
@@ -68,18 +68,18 @@
     MessageLimits messageLimits() const override;
     Duration headTimeout() const override { return limits().headTimeout; }
     Duration idleTimeout() const override { return limits().idleTimeout; }
-    const WireDialect &dialect() const override { return m_context.dialect; }
+    const WireProtocol &dialect() const override { return m_context.dialect; }
     bool isLeaving() const override { return m_leaving; }
 
     void onPlaced(ExchangeId exchange, const TargetEntry &target) override;
-    void onRefused(ExchangeId exchange, const RefusalFacts &facts) override;
+    void onRefused(ExchangeId exchange, const RefusalDetails &facts) override;
 
-    void onLimitDecided(ExchangeId exchange, const LimitVerdict &verdict) override;
+    void onLimitDecided(ExchangeId exchange, const LimitDecision &verdict) override;
     void onGrantorChanged(std::uint64_t customer, GrantorChange change, double level) override;
     void send(const Endpoint &to, const LimitMessage &message) override;
 
     void accept(int descriptor);
-    void targetRestarted(const TargetStart &present);
+    void targetRestarted(const TargetInstance &present);
     void connectionClosed(CallerConnection &connection);
     void review();
     CallerBounds limits() const;
@@ -88,10 +88,10 @@
     const FleetBounds m_bounds;
     TargetTable m_targets;
     LimitMessenger *m_limitMessenger = nullptr;
-    FleetLimits m_limits;
+    CustomerRateLimiter m_limits;
     Dispatcher m_dispatcher;
     ChannelPool m_channels;
-    NoSuspects m_noSuspects;
+    NullSuspectGuard m_noSuspects;
     CrashWatch m_crashes;
     GatewayContext m_context;
     std::unique_ptr<Listener> m_listener;
--- a/packages/gateway/apricothook/gateway/apricothook_gateway_context.hpp
+++ b/packages/gateway/apricothook/gateway/apricothook_gateway_context.hpp
@@ -1,10 +1,10 @@
 #pragma once
 
+#include <apricothook/dispatch/apricothook_customer_rate_limiter.hpp>
 #include <apricothook/dispatch/apricothook_dispatcher.hpp>
-#include <apricothook/dispatch/apricothook_fleet_limits.hpp>
 #include <apricothook/dispatch/apricothook_limit_reserve.hpp>
 #include <apricothook/dispatch/apricothook_policy_switches.hpp>
-#include <apricothook/dispatch/apricothook_retry_allowance.hpp>
+#include <apricothook/dispatch/apricothook_retry_budget_share.hpp>
 #include <apricothook/dispatch/apricothook_route_table.hpp>
 #include <apricothook/dispatch/apricothook_route_urgency.hpp>
 #include <apricothook/dispatch/apricothook_size_order.hpp>
@@ -24,7 +24,7 @@
 struct GatewayContext
 {
     EventLoop &loop;
-    const WireDialect &dialect;
+    const WireProtocol &dialect;
     RandomSource &random;
     LogWriter &log;
     Metrics &metrics;
@@ -33,7 +33,7 @@
     TargetTable &targets;
     Dispatcher &dispatcher;
     ChannelPool &channels;
-    FleetLimits &limits;
+    CustomerRateLimiter &limits;
     CrashWatch &crashes;
     /** Never null. */
     SuspectGuard *suspects;
@@ -47,7 +47,7 @@
     bool refusesNew = false;
     /** When this process began to serve. */
     const Instant started {};
-    std::map<ServiceId, RetryAllowance> retries;
+    std::map<ServiceId, RetryBudgetShare> retries;
     RouteUrgency urgency;
     SizeOrder sizes;
     LimitReserve limitReserve;
@@ -56,7 +56,7 @@
     /** Called when a slot of a target may have become free. */
     std::function<void()> roomFreed;
 
-    RetryAllowance &retriesOf(const ServiceId &service)
+    RetryBudgetShare &retriesOf(const ServiceId &service)
     {
         return retries.try_emplace(service, bounds, started).first->second;
     }
--- a/packages/gateway/apricothook/gateway/apricothook_suspect_guard.hpp
+++ b/packages/gateway/apricothook/gateway/apricothook_suspect_guard.hpp
@@ -16,18 +16,18 @@
     /** For how long the request is kept from targets; nothing when it may be sent now. */
     virtual std::optional<Duration> quarantine(Fingerprint request) = 0;
     /** A target ran the request to its end. */
-    virtual void noteAnswered(Fingerprint request) = 0;
+    virtual void recordAnswer(Fingerprint request) = 0;
     /** The requests were lost with the target. */
-    virtual void noteCrash(const TargetId &target, const std::vector<Fingerprint> &requests) = 0;
+    virtual void recordCrash(const TargetId &target, const std::vector<Fingerprint> &requests) = 0;
 };
 
 /** Suspects nobody. */
-class NoSuspects : public SuspectGuard
+class NullSuspectGuard : public SuspectGuard
 {
 public:
     std::optional<Duration> quarantine(Fingerprint) override { return std::nullopt; }
-    void noteAnswered(Fingerprint) override { }
-    void noteCrash(const TargetId &, const std::vector<Fingerprint> &) override { }
+    void recordAnswer(Fingerprint) override { }
+    void recordCrash(const TargetId &, const std::vector<Fingerprint> &) override { }
 };
 
 } // namespace Apricothook
--- a/packages/gateway/apricothook/gateway/apricothook_target_channel.cpp
+++ b/packages/gateway/apricothook/gateway/apricothook_target_channel.cpp
@@ -4,8 +4,8 @@
 
 namespace Apricothook {
 
-TargetChannel::TargetChannel(EventLoop &loop, const WireDialect &dialect, TargetChannelOwner &owner,
-                             const TargetEntry &target)
+TargetChannel::TargetChannel(EventLoop &loop, const WireProtocol &dialect,
+                             TargetChannelOwner &owner, const TargetEntry &target)
     : m_loop(loop)
     , m_dialect(dialect)
     , m_owner(owner)
@@ -105,10 +105,10 @@
     if (m_headTold || !m_reader.hasHead())
         return m_headTold;
     m_headTold = true;
-    const TargetVerdict verdict = m_dialect.verdict(m_reader.head());
-    if (verdict.keepsSeconds)
-        m_kept = std::chrono::seconds(*verdict.keepsSeconds);
-    m_isStray = !verdict.answers.isEmpty() && verdict.answers != m_request;
+    const TargetResponseFields verdict = m_dialect.targetResponse(m_reader.head());
+    if (verdict.keepAliveSeconds)
+        m_kept = std::chrono::seconds(*verdict.keepAliveSeconds);
+    m_isStray = !verdict.requestId.isEmpty() && verdict.requestId != m_request;
     if (!m_isStray) {
         m_events->onAnswerHead(m_reader.head(), verdict);
         return m_events != nullptr;
@@ -125,7 +125,7 @@
 {
     // An answer may come before the whole request was sent. The target would read the next request
     // as the rest of this one's body, so such a channel isn't used again.
-    const bool reusable = m_reader.head().keepsConnection && !m_reader.head().endsWithConnection
+    const bool reusable = m_reader.head().isKeepAlive && !m_reader.head().endsWithConnection
         && m_socket.isOpen() && m_socket.unsentBytes() == 0 && !hasMoreBytes;
     TargetAnswerEvents *events = std::exchange(m_events, nullptr);
     if (hasMoreBytes)
@@ -139,10 +139,10 @@
     events->onAnswerComplete();
 }
 
-void TargetChannel::onEnd(SocketEnd end)
+void TargetChannel::onEnd(CloseReason end)
 {
     m_loop.cancel(m_connectTimer);
-    const bool isWhole = m_events && !m_isStray && m_headTold && end == SocketEnd::Finished
+    const bool isWhole = m_events && !m_isStray && m_headTold && end == CloseReason::PeerClosed
         && m_reader.finish().has_value();
     if (isWhole) {
         TargetAnswerEvents *events = std::exchange(m_events, nullptr);
--- a/packages/gateway/apricothook/gateway/apricothook_target_channel.hpp
+++ b/packages/gateway/apricothook/gateway/apricothook_target_channel.hpp
@@ -2,7 +2,7 @@
 
 #include <apricothook/dispatch/apricothook_serving_configuration.hpp>
 #include <apricothook/eventloop/apricothook_stream_socket.hpp>
-#include <apricothook/gateway/apricothook_wire_dialect.hpp>
+#include <apricothook/gateway/apricothook_wire_protocol.hpp>
 #include <apricothook/http1/apricothook_message_reader.hpp>
 
 #include <string>
@@ -21,7 +21,7 @@
 {
 public:
     virtual ~TargetAnswerEvents() = default;
-    virtual void onAnswerHead(const ResponseHead &head, const TargetVerdict &verdict) = 0;
+    virtual void onAnswerHead(const ResponseHead &head, const TargetResponseFields &verdict) = 0;
     virtual void onAnswerBody(std::string_view bytes) = 0;
     virtual void onAnswerComplete() = 0;
     virtual void onAnswerFailed(ChannelFailure failure) = 0;
@@ -55,7 +55,7 @@
     /** Answers of others that are passed over before the channel is given up. */
     static constexpr unsigned MostStrayAnswers = 2;
 
-    TargetChannel(EventLoop &loop, const WireDialect &dialect, TargetChannelOwner &owner,
+    TargetChannel(EventLoop &loop, const WireProtocol &dialect, TargetChannelOwner &owner,
                   const TargetEntry &target);
     ~TargetChannel() override;
     TargetChannel(const TargetChannel &) = delete;
@@ -78,7 +78,7 @@
 private:
     void onConnected() override;
     void onData(std::string_view bytes) override;
-    void onEnd(SocketEnd end) override;
+    void onEnd(CloseReason end) override;
 
     void readAnswer(std::string_view bytes);
     bool takeHead();
@@ -87,7 +87,7 @@
     void resetAnswer();
 
     EventLoop &m_loop;
-    const WireDialect &m_dialect;
+    const WireProtocol &m_dialect;
     TargetChannelOwner &m_owner;
     const TargetEntry m_target;
     TargetAnswerEvents *m_events = nullptr;
--- a/packages/gateway/apricothook/gateway/internal/apricothook_request_admission.cpp
+++ b/packages/gateway/apricothook/gateway/internal/apricothook_request_admission.cpp
@@ -22,7 +22,7 @@
     if (!request.customer && routes.hasCustomers() && !request.route->isPublic)
         return AdmissionRefusal {RequestEnd::UnknownKey, HttpStatus::Unauthorized, std::nullopt};
     request.service = serviceOf(*request.route, context.random.next());
-    request.lot = static_cast<double>(context.random.next())
+    request.randomDraw = static_cast<double>(context.random.next())
         / static_cast<double>(std::numeric_limits<std::uint64_t>::max());
     return Outcomes::success();
 }
@@ -36,7 +36,7 @@
     const std::uint64_t perEvent = service ? std::max(service->tokensPerEvent, 1U) : 1;
     request.size = {request.fields.promptTokens, request.fields.expectedOutputTokens / perEvent,
                     route.isStream};
-    const Duration patience = request.fields.patience.value_or(route.timeout);
+    const Duration patience = request.fields.timeout.value_or(route.timeout);
     // The caller's time runs while its body comes; a target that was handed the whole of it would
     // work on when the caller has left.
     request.deadline = begun + std::min(patience, route.timeout);
@@ -46,7 +46,8 @@
 {
     if (request.customer->unit == LimitUnit::Requests)
         return 1;
-    return static_cast<double>(request.fields.totalTokens.value_or(request.customer->plainTokens));
+    return static_cast<double>(
+        request.fields.totalTokens.value_or(request.customer->defaultTokens));
 }
 
 } // namespace
@@ -76,13 +77,13 @@
     return Outcomes::success();
 }
 
-LimitClaim limitClaim(GatewayContext &context, const AdmittedRequest &request)
+UnitDemand limitClaim(GatewayContext &context, const AdmittedRequest &request)
 {
     const LimitUnit unit = request.customer->unit;
-    LimitClaim claim {limitUnits(request), 0};
-    context.limitReserve.noteUnits(unit, *request.route, claim.units);
+    UnitDemand claim {limitUnits(request), 0};
+    context.limitReserve.recordUnits(unit, *request.route, claim.units);
     if (context.policies.limitReserve)
-        claim.partLeft = context.limitReserve.partAbove(unit, *request.route);
+        claim.reservedFraction = context.limitReserve.reservedFraction(unit, *request.route);
     return claim;
 }
 
--- a/packages/gateway/apricothook/gateway/internal/apricothook_request_admission.hpp
+++ b/packages/gateway/apricothook/gateway/internal/apricothook_request_admission.hpp
@@ -3,7 +3,7 @@
 #include <apricothook/gateway/apricothook_caller_responder.hpp>
 #include <apricothook/gateway/apricothook_gateway_context.hpp>
 #include <apricothook/gateway/apricothook_request_end.hpp>
-#include <apricothook/model/apricothook_failure.hpp>
+#include <apricothook/model/apricothook_result.hpp>
 
 #include <memory>
 #include <optional>
@@ -21,10 +21,10 @@
     const CustomerRule *customer = nullptr;
     ServiceId service;
     Tier tier;
-    WorkSize size;
+    RequestSize size;
     Instant deadline {};
     /** Drawn once, 0 to 1; decides whether a large request counts as a usual one. */
-    double lot = 1;
+    double randomDraw = 1;
 
     Generation generation() const;
 };
@@ -42,6 +42,6 @@
                                      AdmittedRequest &request);
 
 /** What an admitted request with a customer asks of the customer's limit. */
-LimitClaim limitClaim(GatewayContext &context, const AdmittedRequest &request);
+UnitDemand limitClaim(GatewayContext &context, const AdmittedRequest &request);
 
 } // namespace Apricothook
--- a/packages/gateway/apricothook/gateway/internal/apricothook_request_rank.cpp
+++ b/packages/gateway/apricothook/gateway/internal/apricothook_request_rank.cpp
@@ -8,7 +8,7 @@
 
 double expectedTime(const GatewayContext &context, const AdmittedRequest &request)
 {
-    const Duration whole = context.targets.expectedWhole(request.service, request.size);
+    const Duration whole = context.targets.expectedDuration(request.service, request.size);
     return std::chrono::duration<double, std::milli>(whole).count();
 }
 
@@ -23,7 +23,7 @@
 void noteSize(GatewayContext &context, const AdmittedRequest &request)
 {
     if (isOrderedBySize(context, request))
-        context.sizes.note(request.route->name, expectedTime(context, request));
+        context.sizes.recordSize(request.route->name, expectedTime(context, request));
 }
 
 RequestRank rankOf(const GatewayContext &context, const AdmittedRequest &request)
@@ -33,7 +33,7 @@
         ? context.urgency.tierOf(request.service, route.name, route.tier)
         : route.tier;
     const int level = isOrderedBySize(context, request)
-        ? context.sizes.level(route.name, expectedTime(context, request), request.lot)
+        ? context.sizes.level(route.name, expectedTime(context, request), request.randomDraw)
         : 0;
     // Moved down by as much as a small request may go up, so that no level is cut off.
     const int rank = ofRoute.rank() + SizeOrder::MostLevels + level;
--- a/packages/gateway/apricothook/gateway/internal/apricothook_request_record.cpp
+++ b/packages/gateway/apricothook/gateway/internal/apricothook_request_record.cpp
@@ -24,28 +24,28 @@
     return record.mayHaveRun ? RequestResult::Unknown : RequestResult::NotRun;
 }
 
-void addRefusal(LogEvent &line, const RefusalFacts &refusal)
+void addRefusal(LogEvent &line, const RefusalDetails &refusal)
 {
-    line.with("slots", refusal.room.slots)
-        .with("free", refusal.room.free)
-        .with("evacuated", refusal.room.evacuated)
-        .with("cold", refusal.room.cold)
+    line.with("slots", refusal.capacity.slots)
+        .with("free", refusal.capacity.free)
+        .with("evacuated", refusal.capacity.evacuated)
+        .with("cold", refusal.capacity.cold)
         .with("urgency", refusal.rank.route.rank())
         .with("ahead", refusal.ahead)
-        .with("hold_ms", refusal.room.meanHold)
+        .with("hold_ms", refusal.capacity.meanHoldTime)
         .with("expected_wait_ms", refusal.expectedWait)
         .with("retry_after_ms", refusal.retryAfter);
 }
 
-void addLimit(LogEvent &line, const LimitVerdict &limit)
+void addLimit(LogEvent &line, const LimitDecision &limit)
 {
     line.with("limit_from", std::string(nameOf(limit.source)))
-        .with("limit_asks", limit.asks)
+        .with("limit_asks", limit.queries)
         .with("limit_wait_ms", limit.waited)
-        .with("units", limit.claim.units);
+        .with("units", limit.demand.units);
     if (limit.isAdmitted)
         return;
-    line.with("part_left", limit.claim.partLeft)
+    line.with("part_left", limit.demand.reservedFraction)
         .with("level", limit.level)
         .with("bucket", limit.bucket)
         .with("units_per_s", limit.perSecond)
@@ -59,9 +59,9 @@
     const RequestLabels labels {record.tier, record.route, record.customer};
     metrics.requestEnded(labels, resultOf(record), record.took);
     if (record.first)
-        metrics.firstToken(labels, *record.first);
+        metrics.timeToFirstToken(labels, *record.first);
     LogEvent line(eventOf(record));
-    line.about(record.id)
+    line.forRequest(record.id)
         .with("end", std::string(nameOf(record.end)))
         .with("status", record.status)
         .with("route", record.route.text())
@@ -79,7 +79,7 @@
     if (record.limit)
         addLimit(line, *record.limit);
     if (record.end == RequestEnd::Answered)
-        line.isRoutine();
+        line.markRoutine();
     log.write(line);
 }
 
--- a/packages/gateway/apricothook/gateway/internal/apricothook_request_record.hpp
+++ b/packages/gateway/apricothook/gateway/internal/apricothook_request_record.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
+#include <apricothook/dispatch/apricothook_customer_rate_limiter.hpp>
 #include <apricothook/dispatch/apricothook_dispatcher.hpp>
-#include <apricothook/dispatch/apricothook_fleet_limits.hpp>
 #include <apricothook/gateway/apricothook_request_end.hpp>
 #include <apricothook/observe/apricothook_metrics.hpp>
 #include <apricothook/observe/apricothook_structured_log.hpp>
@@ -30,9 +30,9 @@
     /** From arrival to the first byte of the answer. */
     std::optional<Duration> first;
     /** Set when there was no room. */
-    std::optional<RefusalFacts> refusal;
+    std::optional<RefusalDetails> refusal;
     /** What decided whether the customer's limit had its units; unset where there is none. */
-    std::optional<LimitVerdict> limit;
+    std::optional<LimitDecision> limit;
 };
 
 /** Counts the request and writes its last line. */
--- a/packages/gateway/tests/apricothook_gateway_bench.hpp
+++ b/packages/gateway/tests/apricothook_gateway_bench.hpp
@@ -2,7 +2,7 @@
 
 #include <apricothook/gateway/apricothook_gateway.hpp>
 #include <apricothook/gateway/apricothook_gateway_event.hpp>
-#include <apricothook/testsupport/apricothook_hand_clock.hpp>
+#include <apricothook/testsupport/apricothook_manual_clock.hpp>
 
 #include <apricothook_scripted_peers.hpp>
 #include <apricothook_test_dialect.hpp>
@@ -55,7 +55,7 @@
     /** The target that got the `count`-th request, once it is there. */
     ScriptedTarget *targetWith(std::size_t count = 1);
 
-    HandClock clock;
+    ManualClock clock;
     EventLoop loop {clock};
     TestDialect dialect;
     FixedRandom random;
--- a/packages/gateway/tests/apricothook_gateway_caller_tests.cpp
+++ b/packages/gateway/tests/apricothook_gateway_caller_tests.cpp
@@ -125,7 +125,7 @@
         caller.socket.send(std::string(3000, 'x'));
     }
     REQUIRE(bench.until([&] { return caller.end.has_value(); }));
-    CHECK(*caller.end == SocketEnd::Finished);
+    CHECK(*caller.end == CloseReason::PeerClosed);
     CHECK(statusOf(caller) == 413);
 }
 
@@ -162,10 +162,10 @@
     HeldConnection &caller = bench.connect();
     caller.socket.send(GatewayBench::request("once", "a"));
     REQUIRE(bench.targetWith());
-    bench.gateway.startLeaving();
+    bench.gateway.startDraining();
     bench.target(0).connection(0).socket.send(wholeAnswer("a", "last"));
     REQUIRE(bench.until([&] { return caller.end.has_value(); }));
-    CHECK(*caller.end == SocketEnd::Finished);
+    CHECK(*caller.end == CloseReason::PeerClosed);
     CHECK(caller.has("Connection: close\r\n"));
     CHECK(caller.has("last"));
 }
--- a/packages/gateway/tests/apricothook_gateway_crash_tests.cpp
+++ b/packages/gateway/tests/apricothook_gateway_crash_tests.cpp
@@ -17,8 +17,8 @@
         return quarantined.contains(request) ? std::optional<Duration>(std::chrono::seconds(600))
                                              : std::nullopt;
     }
-    void noteAnswered(Fingerprint request) override { answered.push_back(request); }
-    void noteCrash(const TargetId &target, const std::vector<Fingerprint> &requests) override
+    void recordAnswer(Fingerprint request) override { answered.push_back(request); }
+    void recordCrash(const TargetId &target, const std::vector<Fingerprint> &requests) override
     {
         crashes.emplace_back(target, requests);
     }
--- a/packages/gateway/tests/apricothook_gateway_limit_tests.cpp
+++ b/packages/gateway/tests/apricothook_gateway_limit_tests.cpp
@@ -14,11 +14,11 @@
 public:
     void send(const Endpoint &to, const LimitMessage &message) override
     {
-        if (const auto *ask = std::get_if<UnitsAsk>(&message))
+        if (const auto *ask = std::get_if<UnitsRequest>(&message))
             asks.emplace_back(to, *ask);
     }
 
-    std::vector<std::pair<Endpoint, UnitsAsk>> asks;
+    std::vector<std::pair<Endpoint, UnitsRequest>> asks;
 };
 
 /** A gateway whose customer's units another daemon grants. */
@@ -54,9 +54,9 @@
     {
         if (!until([&] { return !messages.asks.empty(); }))
             return false;
-        UnitsAnswer told;
+        UnitsReply told;
         told.member = Grantor.member;
-        told.ask = messages.asks.front().second.ask;
+        told.requestId = messages.asks.front().second.requestId;
         told.outcome = outcome;
         told.units = outcome == UnitsOutcome::Granted ? 1 : 0;
         told.waitMs = 700;
@@ -102,7 +102,7 @@
     HeldConnection &last = bench.send("last");
     bench.settle();
     for (int round = 0; round < 8; ++round) {
-        bench.clock.advance(FleetLimits::AnswerTime);
+        bench.clock.advance(CustomerRateLimiter::AnswerTime);
         bench.settle();
     }
     REQUIRE(bench.until([&] { return last.has("HTTP/1.1 "); }));
--- a/packages/gateway/tests/apricothook_scripted_peers.hpp
+++ b/packages/gateway/tests/apricothook_scripted_peers.hpp
@@ -19,11 +19,11 @@
     HeldConnection(EventLoop &loop, const Endpoint &to) : socket(loop, *this, to) { }
 
     void onData(std::string_view bytes) override { received.append(bytes); }
-    void onEnd(SocketEnd how) override { end = how; }
+    void onEnd(CloseReason how) override { end = how; }
     bool has(std::string_view text) const { return received.find(text) != std::string::npos; }
 
     std::string received;
-    std::optional<SocketEnd> end;
+    std::optional<CloseReason> end;
     StreamSocket socket;
 };
 
--- a/packages/gateway/tests/apricothook_test_dialect.cpp
+++ b/packages/gateway/tests/apricothook_test_dialect.cpp
@@ -18,12 +18,12 @@
     RequestFields request;
     request.id = RequestKey(valueOf(head.headers, "Id"));
     if (request.id.isEmpty())
-        return RequestFieldsError::NoId;
+        return RequestFieldsError::MissingId;
     request.host = valueOf(head.headers, "Host");
     request.path = head.target;
     request.customerKey = valueOf(head.headers, "Key");
     if (const auto patience = head.headers.find("Patience"))
-        request.patience = std::chrono::milliseconds(std::stoi(std::string(*patience)));
+        request.timeout = std::chrono::milliseconds(std::stoi(std::string(*patience)));
     return request;
 }
 
@@ -33,32 +33,32 @@
     RequestHead head = fromCaller;
     head.headers.removeHopByHop();
     head.headers.set("Only", fields.target.text());
-    const auto patience = std::chrono::duration_cast<std::chrono::milliseconds>(fields.patience);
+    const auto patience = std::chrono::duration_cast<std::chrono::milliseconds>(fields.timeout);
     head.headers.set("Patience", std::to_string(patience.count()));
-    if (fields.lastEvent)
-        head.headers.set("Last", std::to_string(*fields.lastEvent));
+    if (fields.lastEventId)
+        head.headers.set("Last", std::to_string(*fields.lastEventId));
     return head;
 }
 
-TargetVerdict TestDialect::verdict(const ResponseHead &head) const
+TargetResponseFields TestDialect::targetResponse(const ResponseHead &head) const
 {
-    TargetVerdict verdict;
-    verdict.answers = RequestKey(valueOf(head.headers, "Id"));
+    TargetResponseFields verdict;
+    verdict.requestId = RequestKey(valueOf(head.headers, "Id"));
     verdict.isNotRun = head.headers.find("Not-Run").has_value();
-    verdict.isOtherTarget = head.status == 421;
+    verdict.isMisdirected = head.status == 421;
     verdict.isSigned = head.headers.find("Signed").has_value();
     return verdict;
 }
 
-ResponseHead TestDialect::callerAnswer(const ResponseHead &fromTarget) const
+ResponseHead TestDialect::callerResponse(const ResponseHead &fromTarget) const
 {
     ResponseHead head = fromTarget;
     head.headers.removeHopByHop();
     return head;
 }
 
-ResponseHead TestDialect::ownAnswer(unsigned status, const RequestKey &id,
-                                    std::optional<Duration> retryAfter) const
+ResponseHead TestDialect::localResponse(unsigned status, const RequestKey &id,
+                                        std::optional<Duration> retryAfter) const
 {
     ResponseHead head;
     head.status = status;
--- a/packages/homes/apricothook/homes/apricothook_customer_limits.cpp
+++ b/packages/homes/apricothook/homes/apricothook_customer_limits.cpp
@@ -132,9 +132,10 @@
     MemberId best = m_members.self().member;
     std::uint64_t bestWeight = 0;
     for (const MemberUpdate &member : m_members.live()) {
-        const std::uint64_t weight = rendezvousWeight(customer.text(), member.life.member.text());
+        const std::uint64_t weight
+            = rendezvousWeight(customer.text(), member.instance.member.text());
         if (weight >= bestWeight) {
-            best = member.life.member;
+            best = member.instance.member;
             bestWeight = weight;
         }
     }
--- a/packages/homes/apricothook/homes/apricothook_customer_limits.hpp
+++ b/packages/homes/apricothook/homes/apricothook_customer_limits.hpp
@@ -2,8 +2,8 @@
 
 #include <apricothook/homes/apricothook_customer_limiter.hpp>
 #include <apricothook/homes/internal/apricothook_token_bucket.hpp>
-#include <apricothook/model/apricothook_failure.hpp>
 #include <apricothook/model/apricothook_member_view.hpp>
+#include <apricothook/model/apricothook_result.hpp>
 
 namespace Apricothook {
 
--- a/packages/homes/apricothook/homes/apricothook_home_map.hpp
+++ b/packages/homes/apricothook/homes/apricothook_home_map.hpp
@@ -3,8 +3,8 @@
 #include <apricothook/homes/apricothook_home_choice.hpp>
 #include <apricothook/homes/apricothook_ticket_reader.hpp>
 #include <apricothook/homes/internal/apricothook_home_table.hpp>
-#include <apricothook/model/apricothook_failure.hpp>
 #include <apricothook/model/apricothook_fleet_text.hpp>
+#include <apricothook/model/apricothook_result.hpp>
 
 #include <map>
 #include <string_view>
--- a/packages/homes/apricothook/homes/apricothook_key_home.cpp
+++ b/packages/homes/apricothook/homes/apricothook_key_home.cpp
@@ -77,7 +77,7 @@
 
 KeyHome::Standing KeyHome::ticketStanding(const Ticket &ticket, Instant now) const
 {
-    const MemberLife &self = m_members.self();
+    const MemberInstance &self = m_members.self();
     Standing standing;
     standing.homes = {ticket.home.member};
     standing.isHome = ticket.home.member == self.member;
@@ -303,7 +303,7 @@
 
 void KeyHome::handle(const MemberId &from, const KeyQuery &query, Instant now, Outbox &out) const
 {
-    KeyQueryReply reply {query.sequence, query.key, KeyState::Unheard, {}, {}};
+    KeyQueryReply reply {query.sequence, query.key, KeyState::NotSeen, {}, {}};
     const KeyRecord *known = m_store.find(digestOf(query.key));
     const bool isCustomers
         = known && known->isIdentified && m_customers.valueOf(known->customer) == query.customer;
@@ -319,7 +319,7 @@
         if (known->state == RecordState::Granted || known->state == RecordState::Answered)
             reply.target = m_targets.valueOf(known->target);
     } else if (known && !known->isIdentified && known->state != RecordState::Closed) {
-        // Only the report of a run is known, from before this life. "Unheard" would send the entry
+        // Only the report of a run is known, from before this life. "NotSeen" would send the entry
         // back for a grant that it can't get, and from there back here, without end.
         reply.state = KeyState::Unknown;
     } else if (!known || !known->isIdentified) {
@@ -334,12 +334,12 @@
 {
     // A wrong belief here changes what a resend is told, "running" or "unknown", both of which
     // leave the grant where it is; it never makes a second one.
-    const MemberLife &holder = m_lives.valueOf(record.holder.entry);
+    const MemberInstance &holder = m_lives.valueOf(record.holder.entry);
     if (holder == m_members.self())
         return true;
     const std::optional<MemberUpdate> found = m_members.find(holder.member);
     return found && found->state != MemberState::Dead
-        && found->life.incarnation <= holder.incarnation;
+        && found->instance.incarnation <= holder.incarnation;
 }
 
 ExchangeRef KeyHome::refOf(const AttemptId &attempt)
--- a/packages/homes/apricothook/homes/apricothook_key_home.hpp
+++ b/packages/homes/apricothook/homes/apricothook_key_home.hpp
@@ -91,7 +91,7 @@
     KeyStore m_store;
     NameTable<CustomerId> m_customers;
     NameTable<TargetId> m_targets;
-    NameTable<MemberLife> m_lives;
+    NameTable<MemberInstance> m_lives;
 };
 
 } // namespace Apricothook
--- a/packages/homes/apricothook/homes/apricothook_run_hints.cpp
+++ b/packages/homes/apricothook/homes/apricothook_run_hints.cpp
@@ -26,7 +26,7 @@
 {
     std::vector<Candidate> candidates;
     for (const MemberUpdate &member : members.live()) {
-        const MemberId &id = member.life.member;
+        const MemberId &id = member.instance.member;
         if (id != near.id)
             candidates.push_back({member.dataCentre != near.dataCentre,
                                   rendezvousWeight(key.text(), id.text()), id});
@@ -43,7 +43,8 @@
 void RunHints::keep(const RunHint &hint, Instant now)
 {
     expire(now);
-    const auto [kept, isNew] = m_hints.insert_or_assign(hint.key, Kept {hint, now + hint.left});
+    const auto [kept, isNew]
+        = m_hints.insert_or_assign(hint.key, Kept {hint, now + hint.remaining});
     if (isNew)
         m_order.push_back(kept->first);
     if (m_order.size() > MaximumHints) {
--- a/packages/homes/apricothook/homes/apricothook_ticket.hpp
+++ b/packages/homes/apricothook/homes/apricothook_ticket.hpp
@@ -23,7 +23,7 @@
  */
 struct Ticket
 {
-    MemberLife home;
+    MemberInstance home;
     /** Milliseconds on the steady clock of the home's process; only that life may compare it. */
     std::uint64_t issuedMilliseconds = 0;
     auto operator<=>(const Ticket &) const = default;
--- a/packages/homes/apricothook/homes/apricothook_ticket_issuer.cpp
+++ b/packages/homes/apricothook/homes/apricothook_ticket_issuer.cpp
@@ -4,7 +4,7 @@
 
 namespace Apricothook {
 
-TicketIssuer::TicketIssuer(MemberLife self, TicketKey key)
+TicketIssuer::TicketIssuer(MemberInstance self, TicketKey key)
     : m_self(std::move(self)), m_key(std::move(key))
 {
 }
--- a/packages/homes/apricothook/homes/apricothook_ticket_issuer.hpp
+++ b/packages/homes/apricothook/homes/apricothook_ticket_issuer.hpp
@@ -12,7 +12,7 @@
 {
 public:
     /** `key` signs; `self` has a member name of [A-Za-z0-9._-]{1,64}. */
-    TicketIssuer(MemberLife self, TicketKey key);
+    TicketIssuer(MemberInstance self, TicketKey key);
 
     /** A ticket for the answer of a lookup; the caller appends "." and a part of its own. */
     std::string issue(Instant now) const;
@@ -20,7 +20,7 @@
     RequestKey mint(Instant now, RandomSource &random) const;
 
 private:
-    MemberLife m_self;
+    MemberInstance m_self;
     TicketKey m_key;
 };
 
--- a/packages/homes/apricothook/homes/apricothook_ticket_reader.hpp
+++ b/packages/homes/apricothook/homes/apricothook_ticket_reader.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <apricothook/homes/apricothook_ticket.hpp>
-#include <apricothook/model/apricothook_failure.hpp>
+#include <apricothook/model/apricothook_result.hpp>
 
 #include <optional>
 #include <vector>
--- a/packages/homes/tests/apricothook_customer_limits_tests.cpp
+++ b/packages/homes/tests/apricothook_customer_limits_tests.cpp
@@ -23,7 +23,7 @@
             names.push_back("m" + std::to_string(1000 + i));
         for (const std::string &name : names) {
             views.push_back(
-                std::make_unique<FakeMembers>(MemberLife {MemberId(name), Incarnation(1)}));
+                std::make_unique<FakeMemberView>(MemberInstance {MemberId(name), Incarnation(1)}));
             for (const std::string &other : names)
                 views.back()->add({MemberId(other), Incarnation(1)});
             daemons.push_back(std::make_unique<CustomerLimits>(*views.back()));
@@ -44,10 +44,10 @@
             Outbox out;
             daemons[i]->tick(now, out);
             for (std::size_t sent = 0; sent < out.size(); ++sent)
-                deliver(views[i]->self().member, Outgoing(out[sent]), now);
+                deliver(views[i]->self().member, OutgoingMessage(out[sent]), now);
         }
     }
-    void deliver(const MemberId &from, const Outgoing &outgoing, Instant now)
+    void deliver(const MemberId &from, const OutgoingMessage &outgoing, Instant now)
     {
         ++messages;
         if (isCut)
@@ -57,7 +57,7 @@
             find(outgoing.to)->handle(from, *demand, now, replies);
         else
             find(outgoing.to)->handle(from, std::get<LimitShare>(outgoing.message), now);
-        for (const Outgoing &reply : replies)
+        for (const OutgoingMessage &reply : replies)
             deliver(outgoing.to, reply, now);
     }
     /** Each entry gets its number of requests a second, evenly; returns what each admitted. */
@@ -78,7 +78,7 @@
         return admitted;
     }
 
-    std::vector<std::unique_ptr<FakeMembers>> views;
+    std::vector<std::unique_ptr<FakeMemberView>> views;
     std::vector<std::unique_ptr<CustomerLimits>> daemons;
     std::size_t messages = 0;
     bool isCut = false;
--- a/packages/homes/tests/apricothook_homes_fakes.hpp
+++ b/packages/homes/tests/apricothook_homes_fakes.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <apricothook/homes/apricothook_home_map.hpp>
-#include <apricothook/testsupport/apricothook_fake_members.hpp>
+#include <apricothook/testsupport/apricothook_fake_member_view.hpp>
 
 #include <algorithm>
 #include <set>
--- a/packages/homes/tests/apricothook_key_home_tests.cpp
+++ b/packages/homes/tests/apricothook_key_home_tests.cpp
@@ -64,7 +64,7 @@
         return std::get<KeyQueryReply>(out.front().message).state;
     }
 
-    FakeMembers members {{MemberId("h"), Incarnation(1)}, {"e", "f"}};
+    FakeMemberView members {{MemberId("h"), Incarnation(1)}, {"e", "f"}};
     FakeEvents events;
     HomeMap map {MemberId("h"), readerOf()};
     RequestKey key {"k"};
@@ -79,7 +79,7 @@
     TEST_CASE("A key is granted once, and its holder gets the same reply again")
     {
         Fixture f;
-        CHECK(f.state() == KeyState::Unheard);
+        CHECK(f.state() == KeyState::NotSeen);
         CHECK(f.ask("e", 1) == GrantVerdict::Granted);
         CHECK(f.ask("e", 1) == GrantVerdict::Granted);
         const GrantReply other = f.ask(f.request("f", 1, 1));
@@ -88,7 +88,7 @@
         CHECK(other.target == TargetId("t-e"));
         CHECK(f.ask("e", 2) == GrantVerdict::Running);
         CHECK(f.state() == KeyState::Running);
-        CHECK(f.state("d") == KeyState::Unheard);
+        CHECK(f.state("d") == KeyState::NotSeen);
         CHECK(f.report("e", 1, 1, KeyEnd::Answered));
         CHECK(f.ask("f", 1) == GrantVerdict::Finished);
         CHECK(f.state() == KeyState::Answered);
@@ -277,7 +277,7 @@
         }
         SUBCASE("as the ticket is of an earlier life of the same member")
         {
-            const MemberLife earlier {MemberId("h"), Incarnation(0)};
+            const MemberInstance earlier {MemberId("h"), Incarnation(0)};
             f.key = RequestKey(TicketIssuer(earlier, {1, "secret"}).issue(f.now) + ".x");
             CHECK(f.ask("f", 1) == GrantVerdict::LostMemory);
         }
--- a/packages/homes/tests/apricothook_one_key_model_tests.cpp
+++ b/packages/homes/tests/apricothook_one_key_model_tests.cpp
@@ -53,9 +53,9 @@
 
 struct Daemon
 {
-    MemberLife life;
+    MemberInstance life;
     std::unique_ptr<HomeMap> map;
-    std::unique_ptr<FakeMembers> members;
+    std::unique_ptr<FakeMemberView> members;
     std::unique_ptr<KeyHome> home;
     std::vector<Exchange> exchanges;
 };
@@ -142,14 +142,14 @@
     struct Packet
     {
         MemberId from;
-        Outgoing outgoing;
+        OutgoingMessage outgoing;
     };
 
     void start(Daemon &daemon, Instant startedAt)
     {
         daemon.life.incarnation = Incarnation(daemon.life.incarnation.value() + 1);
         daemon.exchanges.clear();
-        daemon.members = std::make_unique<FakeMembers>(daemon.life);
+        daemon.members = std::make_unique<FakeMemberView>(daemon.life);
         for (const Daemon &other : m_daemons) {
             if (other.life.member != daemon.life.member)
                 daemon.members->add(other.life);
@@ -309,7 +309,7 @@
             daemon.map->noteGeneration(packet.from, reply->generation, m_now);
             replied(daemon, packet.from, *reply);
         }
-        for (const Outgoing &outgoing : out) {
+        for (const OutgoingMessage &outgoing : out) {
             const auto *reply = std::get_if<GrantReply>(&outgoing.message);
             if (reply && reply->verdict == GrantVerdict::Granted)
                 m_firstGrants.emplace(reply->attempt, m_now);
--- a/packages/homes/tests/apricothook_run_hints_tests.cpp
+++ b/packages/homes/tests/apricothook_run_hints_tests.cpp
@@ -33,9 +33,9 @@
         const RosterEntry home {MemberId("h"), DataCentreId()};
         for (int i = 0; i < 200; ++i) {
             const RequestKey key("k" + std::to_string(i));
-            FakeMembers before({MemberId("h"), Incarnation(1)}, {"a", "b", "c", "d"});
+            FakeMemberView before({MemberId("h"), Incarnation(1)}, {"a", "b", "c", "d"});
             const std::vector<MemberId> told = witnessesOf(key, home, before);
-            FakeMembers after({MemberId("a"), Incarnation(1)}, {"b", "c", "d"});
+            FakeMemberView after({MemberId("a"), Incarnation(1)}, {"b", "c", "d"});
             const std::vector<MemberId> asked = witnessesOf(key, home, after);
             REQUIRE(told.size() == 2);
             CHECK(std::ranges::find(asked, told.front()) != asked.end());
--- a/packages/http1/apricothook/http1/apricothook_message_head.hpp
+++ b/packages/http1/apricothook/http1/apricothook_message_head.hpp
@@ -15,7 +15,7 @@
     std::string target;
     HeaderList headers;
     /** The connection may serve another request after this one. */
-    bool keepsConnection = true;
+    bool isKeepAlive = true;
 
     auto operator<=>(const RequestHead &) const = default;
 };
@@ -26,7 +26,7 @@
     unsigned status = 0;
     std::string reason;
     HeaderList headers;
-    bool keepsConnection = true;
+    bool isKeepAlive = true;
     /** The body ends with the connection, as the answer states no length. */
     bool endsWithConnection = false;
 
--- a/packages/http1/apricothook/http1/apricothook_message_reader.cpp
+++ b/packages/http1/apricothook/http1/apricothook_message_reader.cpp
@@ -48,7 +48,7 @@
     }
     void on_header_impl(boost::beast::error_code &error) override
     {
-        head.keepsConnection = keep_alive();
+        head.isKeepAlive = keep_alive();
         if (hasUnclearFraming(head.headers))
             error = Http::error::bad_field;
     }
@@ -78,7 +78,7 @@
     }
     void on_header_impl(boost::beast::error_code &) override
     {
-        head.keepsConnection = keep_alive();
+        head.isKeepAlive = keep_alive();
         head.endsWithConnection = need_eof();
     }
 };
--- a/packages/http1/apricothook/http1/apricothook_message_reader.hpp
+++ b/packages/http1/apricothook/http1/apricothook_message_reader.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <apricothook/http1/apricothook_message_head.hpp>
-#include <apricothook/model/apricothook_failure.hpp>
+#include <apricothook/model/apricothook_result.hpp>
 
 #include <cstdint>
 #include <memory>
--- a/packages/membership/apricothook/membership/apricothook_lookup.cpp
+++ b/packages/membership/apricothook/membership/apricothook_lookup.cpp
@@ -38,7 +38,7 @@
 std::optional<MemberUpdate> Lookup::selfIfFree()
 {
     const std::optional<MemberUpdate> self = m_members.find(m_members.self().member);
-    if (!self || self->life != m_members.self() || self->state != MemberState::Alive)
+    if (!self || self->instance != m_members.self() || self->state != MemberState::Alive)
         return std::nullopt;
     double mean = 0;
     const Places near = sample(m_candidates[0]);
--- a/packages/membership/apricothook/membership/apricothook_membership.cpp
+++ b/packages/membership/apricothook/membership/apricothook_membership.cpp
@@ -34,7 +34,7 @@
     join(now, out);
 }
 
-void Membership::handle(const MemberLife &from, const Endpoint &address, const Probe &message,
+void Membership::handle(const MemberInstance &from, const Endpoint &address, const Probe &message,
                         Instant now, Mail &out)
 {
     hear(now);
@@ -42,12 +42,13 @@
         return;
     takeAll(message.updates, from, now);
     noteDigest(from, message.digest);
-    out.push_back({from.member, address,
-                   ProbeReply {message.sequence, m_self.life.member, m_digest, updatesFor(from)}});
+    out.push_back(
+        {from.member, address,
+         ProbeReply {message.sequence, m_self.instance.member, m_digest, updatesFor(from)}});
 }
 
-void Membership::handle(const MemberLife &from, const Endpoint &address, const ProbeReply &message,
-                        Instant now, Mail &out)
+void Membership::handle(const MemberInstance &from, const Endpoint &address,
+                        const ProbeReply &message, Instant now, Mail &out)
 {
     hear(now);
     const bool isRefuted = takeAll(message.updates, from, now);
@@ -70,7 +71,7 @@
         m_roundTrips[static_cast<std::size_t>(probe->distance)].learn(now - probe->sentAt);
 }
 
-void Membership::handle(const MemberLife &from, const Endpoint &address,
+void Membership::handle(const MemberInstance &from, const Endpoint &address,
                         const IndirectProbe &message, Instant now, Mail &out)
 {
     hear(now);
@@ -80,12 +81,12 @@
                             now + LongestProbeTimeout};
     if (!m_relays.add(relay, now))
         return;
-    const MemberLife &subject = message.subject.life;
+    const MemberInstance &subject = message.subject.instance;
     out.push_back({subject.member, message.subject.peerAddress,
                    Probe {relay.sequence, subject.member, m_digest, updatesFor(subject)}});
 }
 
-void Membership::handle(const MemberLife &from, const Endpoint &address,
+void Membership::handle(const MemberInstance &from, const Endpoint &address,
                         const MemberListRequest &message, Instant now, Mail &out)
 {
     hear(now);
@@ -95,16 +96,16 @@
     out.push_back({from.member, address, pageFor(from, message.from)});
 }
 
-void Membership::handle(const MemberLife &from, const Endpoint &address, const MemberList &message,
-                        Instant now, Mail &out)
+void Membership::handle(const MemberInstance &from, const Endpoint &address,
+                        const MemberList &message, Instant now, Mail &out)
 {
     hear(now);
     if (takeAll(message.members, from, now))
         tell(from.member, address, out);
     noteDigest(from, message.digest);
     const auto isOther = [&](const MemberUpdate &member) {
-        const MemberId &id = member.life.member;
-        return id != m_self.life.member && id != from.member;
+        const MemberId &id = member.instance.member;
+        return id != m_self.instance.member && id != from.member;
     };
     const auto others = std::count_if(message.members.begin(), message.members.end(), isOther);
     if (!m_join.isJoined())
@@ -159,7 +160,7 @@
 
 std::optional<StateDigest> Membership::digestOf(const MemberId &member) const
 {
-    if (member == m_self.life.member)
+    if (member == m_self.instance.member)
         return m_digest;
     const MemberRecord *record = m_table.find(member);
     return record ? record->digest : std::nullopt;
@@ -186,7 +187,7 @@
         m_probes.refresh(now);
         m_table.refreshSuspects(now);
         m_lastHeard = now;
-        record(MembershipEvent::PauseNoticed, m_self.life);
+        record(MembershipEvent::PauseNoticed, m_self.instance);
     }
     m_lastSeen = now;
 }
@@ -206,13 +207,13 @@
     return now - m_lastHeard > DeafAfter;
 }
 
-bool Membership::takeAll(const std::vector<MemberUpdate> &updates, const MemberLife &from,
+bool Membership::takeAll(const std::vector<MemberUpdate> &updates, const MemberInstance &from,
                          Instant now)
 {
     bool isRefuted = false;
     for (const MemberUpdate &update : updates) {
         isRefuted = take(update, now) || isRefuted;
-        if (update.life == from)
+        if (update.instance == from)
             m_table.setLoad(update);
     }
     return isRefuted;
@@ -221,11 +222,11 @@
 /** True when the update accused this daemon and was refuted. */
 bool Membership::take(const MemberUpdate &update, Instant now)
 {
-    if (update.life.member.isEmpty() || m_isFinished)
+    if (update.instance.member.isEmpty() || m_isFinished)
         return false;
-    if (update.life.member == m_self.life.member)
+    if (update.instance.member == m_self.instance.member)
         return takeOwn(update, now);
-    const MemberRecord *known = m_table.find(update.life.member);
+    const MemberRecord *known = m_table.find(update.instance.member);
     const bool wasDead = known && known->update.state == MemberState::Dead;
     const MemberChange change = m_table.merge(update, now);
     if (change != MemberChange::None)
@@ -235,54 +236,54 @@
 
 bool Membership::takeOwn(const MemberUpdate &update, Instant now)
 {
-    if (update.life.incarnation > m_self.life.incarnation) {
+    if (update.instance.incarnation > m_self.instance.incarnation) {
         // This process was paused, or cut off, while its VM was replaced. Two processes with one
         // name would both be asked as homes and stewards: the older one must go.
         m_table.merge(update, now);
         if (!m_isObsolete)
-            record(MembershipEvent::ObsoleteLife, update.life);
+            record(MembershipEvent::ObsoleteLife, update.instance);
         m_isObsolete = true;
         return false;
     }
-    if (m_isObsolete || update.life != m_self.life || !replaces(update, m_self))
+    if (m_isObsolete || update.instance != m_self.instance || !replaces(update, m_self))
         return false;
     m_self.refutation = update.refutation + 1;
     m_table.merge(m_self, now);
     m_queue.add(m_self);
-    record(MembershipEvent::SelfRefuted, m_self.life);
+    record(MembershipEvent::SelfRefuted, m_self.instance);
     return true;
 }
 
 void Membership::changed(MemberChange change, const MemberUpdate &update, bool wasDead, Instant now)
 {
     m_queue.add(update);
-    const MemberId &member = update.life.member;
+    const MemberId &member = update.instance.member;
     switch (change) {
     case MemberChange::Joined:
-        record(MembershipEvent::MemberJoined, update.life);
+        record(MembershipEvent::MemberJoined, update.instance);
         break;
     case MemberChange::Replaced:
         m_losses.remove(member);
-        record(MembershipEvent::MemberReplaced, update.life);
+        record(MembershipEvent::MemberReplaced, update.instance);
         break;
     case MemberChange::Returned:
         m_losses.remove(member);
         if (wasDead)
             m_mendingUntil = now + MendingTime;
-        record(MembershipEvent::MemberReturned, update.life);
+        record(MembershipEvent::MemberReturned, update.instance);
         break;
     case MemberChange::Suspected:
-        record(MembershipEvent::MemberSuspected, update.life);
+        record(MembershipEvent::MemberSuspected, update.instance);
         break;
     case MemberChange::Died:
         m_losses.add(member, update.dataCentre, now);
-        record(MembershipEvent::MemberDied, update.life);
+        record(MembershipEvent::MemberDied, update.instance);
         break;
     case MemberChange::Leaving:
-        record(MembershipEvent::MemberLeaving, update.life);
+        record(MembershipEvent::MemberLeaving, update.instance);
         break;
     case MemberChange::Left:
-        record(MembershipEvent::MemberLeft, update.life);
+        record(MembershipEvent::MemberLeft, update.instance);
         break;
     case MemberChange::None:
     case MemberChange::Other:
@@ -290,14 +291,14 @@
     }
 }
 
-void Membership::noteDigest(const MemberLife &life, const StateDigest &digest)
+void Membership::noteDigest(const MemberInstance &life, const StateDigest &digest)
 {
     MemberRecord *record = m_table.find(life.member);
-    if (record && record->update.life == life)
+    if (record && record->update.instance == life)
         record->digest = digest;
 }
 
-void Membership::record(MembershipEvent event, const MemberLife &life)
+void Membership::record(MembershipEvent event, const MemberInstance &life)
 {
     m_events.record({static_cast<int>(event),
                      {},
@@ -306,17 +307,17 @@
 }
 
 /** What `life` must hear first: that it is suspected, dead or replaced; null when it isn't. */
-const MemberUpdate *Membership::accusationOf(const MemberLife &life) const
+const MemberUpdate *Membership::accusationOf(const MemberInstance &life) const
 {
     const MemberRecord *record = m_table.find(life.member);
-    if (!record || life.member == m_self.life.member)
+    if (!record || life.member == m_self.instance.member)
         return nullptr;
-    const bool isReplaced = record->update.life.incarnation > life.incarnation;
-    const bool isMeant = record->update.life == life && isAccused(record->update.state);
+    const bool isReplaced = record->update.instance.incarnation > life.incarnation;
+    const bool isMeant = record->update.instance == life && isAccused(record->update.state);
     return isReplaced || isMeant ? &record->update : nullptr;
 }
 
-std::vector<MemberUpdate> Membership::updatesFor(const MemberLife &reader)
+std::vector<MemberUpdate> Membership::updatesFor(const MemberInstance &reader)
 {
     std::vector<MemberUpdate> updates;
     if (!m_isObsolete)
@@ -339,7 +340,7 @@
 void Membership::tell(const MemberId &to, const Endpoint &address, Mail &out)
 {
     const MemberRecord *record = m_table.find(to);
-    const MemberLife reader = record ? record->update.life : MemberLife {to, {}};
+    const MemberInstance reader = record ? record->update.instance : MemberInstance {to, {}};
     out.push_back({to, address, Probe {++m_sequence, to, m_digest, updatesFor(reader)}});
 }
 
@@ -347,7 +348,7 @@
 {
     for (std::size_t i = 0; i < Announcements; ++i)
         if (const std::optional<MemberUpdate> member = m_order.next(m_self, live()))
-            tell(member->life.member, member->peerAddress, out);
+            tell(member->instance.member, member->peerAddress, out);
 }
 
 } // namespace Apricothook
--- a/packages/membership/apricothook/membership/apricothook_membership.hpp
+++ b/packages/membership/apricothook/membership/apricothook_membership.hpp
@@ -29,15 +29,15 @@
 
     /** Joins through the seeds, of which this daemon may be one. */
     void start(const std::vector<Endpoint> &seeds, Instant now, Mail &out);
-    void handle(const MemberLife &from, const Endpoint &address, const Probe &message, Instant now,
-                Mail &out);
-    void handle(const MemberLife &from, const Endpoint &address, const ProbeReply &message,
+    void handle(const MemberInstance &from, const Endpoint &address, const Probe &message,
                 Instant now, Mail &out);
-    void handle(const MemberLife &from, const Endpoint &address, const IndirectProbe &message,
+    void handle(const MemberInstance &from, const Endpoint &address, const ProbeReply &message,
                 Instant now, Mail &out);
-    void handle(const MemberLife &from, const Endpoint &address, const MemberListRequest &message,
+    void handle(const MemberInstance &from, const Endpoint &address, const IndirectProbe &message,
                 Instant now, Mail &out);
-    void handle(const MemberLife &from, const Endpoint &address, const MemberList &message,
+    void handle(const MemberInstance &from, const Endpoint &address,
+                const MemberListRequest &message, Instant now, Mail &out);
+    void handle(const MemberInstance &from, const Endpoint &address, const MemberList &message,
                 Instant now, Mail &out);
     /** To be called every 50 to 200 ms. */
     void tick(Instant now, Mail &out);
@@ -56,7 +56,7 @@
     /** True once a newer process has this daemon's name: drain as leaving and stop. */
     bool isObsolete() const { return m_isObsolete; }
 
-    const MemberLife &self() const override { return m_self.life; }
+    const MemberInstance &self() const override { return m_self.instance; }
     const std::vector<MemberUpdate> &live() const override { return m_table.live(); }
     std::optional<MemberUpdate> find(const MemberId &member) const override;
     std::uint64_t version() const override { return m_table.version(); }
@@ -66,15 +66,15 @@
     void observe(Instant now);
     void hear(Instant now);
     bool isDeaf(Instant now) const;
-    bool takeAll(const std::vector<MemberUpdate> &updates, const MemberLife &from, Instant now);
+    bool takeAll(const std::vector<MemberUpdate> &updates, const MemberInstance &from, Instant now);
     bool take(const MemberUpdate &update, Instant now);
     bool takeOwn(const MemberUpdate &update, Instant now);
     void changed(MemberChange change, const MemberUpdate &update, bool wasDead, Instant now);
-    void noteDigest(const MemberLife &life, const StateDigest &digest);
-    void record(MembershipEvent event, const MemberLife &life);
+    void noteDigest(const MemberInstance &life, const StateDigest &digest);
+    void record(MembershipEvent event, const MemberInstance &life);
 
-    std::vector<MemberUpdate> updatesFor(const MemberLife &reader);
-    const MemberUpdate *accusationOf(const MemberLife &life) const;
+    std::vector<MemberUpdate> updatesFor(const MemberInstance &reader);
+    const MemberUpdate *accusationOf(const MemberInstance &life) const;
     void tell(const MemberId &to, const Endpoint &address, Mail &out);
     void announce(Mail &out);
     void probe(const MemberUpdate &subject, Instant now, Mail &out);
@@ -91,7 +91,7 @@
     std::optional<Addressed> lostContact();
     Addressed listRequest(const MemberId &to, const Endpoint &address, std::uint32_t from) const;
     std::uint32_t randomPage();
-    MemberList pageFor(const MemberLife &reader, std::uint32_t from);
+    MemberList pageFor(const MemberInstance &reader, std::uint32_t from);
     std::size_t below(std::size_t bound) { return m_random.next() % bound; }
 
     MemberUpdate m_self;
--- a/packages/membership/apricothook/membership/apricothook_membership_probing.cpp
+++ b/packages/membership/apricothook/membership/apricothook_membership_probing.cpp
@@ -22,8 +22,9 @@
     const Duration learned = m_roundTrips[static_cast<std::size_t>(distance)].timeout();
     const Duration timeout = learned * (1 + m_doubt);
     m_probes.add({++m_sequence, subject, distance, now, timeout, false});
-    out.push_back({subject.life.member, subject.peerAddress,
-                   Probe {m_sequence, subject.life.member, m_digest, updatesFor(subject.life)}});
+    out.push_back(
+        {subject.instance.member, subject.peerAddress,
+         Probe {m_sequence, subject.instance.member, m_digest, updatesFor(subject.instance)}});
 }
 
 void Membership::probeNext(Instant now, Mail &out)
@@ -53,14 +54,14 @@
     // cut, any of them gets through.
     std::vector<const MemberUpdate *> others;
     for (const MemberUpdate &member : live())
-        if (member.life.member != m_self.life.member
-            && member.life.member != probe.subject.life.member
+        if (member.instance.member != m_self.instance.member
+            && member.instance.member != probe.subject.instance.member
             && member.state != MemberState::Suspect)
             others.push_back(&member);
     const std::size_t count = std::min(others.size(), IndirectProbers);
     for (std::size_t i = 0; i < count; ++i) {
         std::swap(others[i], others[i + below(others.size() - i)]);
-        out.push_back({others[i]->life.member, others[i]->peerAddress,
+        out.push_back({others[i]->instance.member, others[i]->peerAddress,
                        IndirectProbe {probe.sequence, probe.subject}});
     }
 }
@@ -68,8 +69,8 @@
 void Membership::suspect(const PendingProbe &probe, Instant now, Mail &out)
 {
     m_doubt = std::min(m_doubt + 1, MostDoubt);
-    MemberRecord *record = m_table.find(probe.subject.life.member);
-    const bool isCurrent = record && record->update.life == probe.subject.life
+    MemberRecord *record = m_table.find(probe.subject.instance.member);
+    const bool isCurrent = record && record->update.instance == probe.subject.instance
         && record->update.state != MemberState::Dead;
     if (!isCurrent)
         return;
@@ -77,7 +78,7 @@
         MemberUpdate suspected = record->update;
         suspected.state = MemberState::Suspect;
         take(suspected, now);
-        tell(suspected.life.member, suspected.peerAddress, out);
+        tell(suspected.instance.member, suspected.peerAddress, out);
     }
     record->isSuspectedHere = true;
 }
@@ -118,9 +119,9 @@
 {
     const double share = m_losses.share(live().size(), now);
     if (share < 1 && m_share == 1)
-        record(MembershipEvent::PartitionSuspected, m_self.life);
+        record(MembershipEvent::PartitionSuspected, m_self.instance);
     if (share == 1 && m_share < 1)
-        record(MembershipEvent::PartitionEnded, m_self.life);
+        record(MembershipEvent::PartitionEnded, m_self.instance);
     m_share = share;
 }
 
@@ -135,7 +136,7 @@
         out.push_back(listRequest({}, seeds[i], m_join.nextPage()));
     }
     if (!m_join.isJoined() && now != m_lastSeen)
-        record(MembershipEvent::JoinRetried, m_self.life);
+        record(MembershipEvent::JoinRetried, m_self.instance);
     m_join.tried(now, m_random.next());
 }
 
@@ -152,8 +153,8 @@
             return;
         }
     const MemberUpdate &member = live()[below(live().size())];
-    if (member.life.member != m_self.life.member)
-        out.push_back(listRequest(member.life.member, member.peerAddress, randomPage()));
+    if (member.instance.member != m_self.instance.member)
+        out.push_back(listRequest(member.instance.member, member.peerAddress, randomPage()));
 }
 
 /** Asks one of the dead, or a seed that isn't a live member, in case that it is back. */
@@ -187,7 +188,7 @@
 }
 
 /** Itself, the reader's accusation if there is one, and others from the `from`th on. */
-MemberList Membership::pageFor(const MemberLife &reader, std::uint32_t from)
+MemberList Membership::pageFor(const MemberInstance &reader, std::uint32_t from)
 {
     MemberList page;
     page.from = from;
@@ -200,7 +201,8 @@
     for (const MemberUpdate &member : page.members)
         room -= std::min(room, wireBound(member));
     for (const MemberUpdate &member : live()) {
-        if (member.life.member == reader.member || member.life.member == m_self.life.member)
+        if (member.instance.member == reader.member
+            || member.instance.member == m_self.instance.member)
             continue;
         const std::size_t size = wireBound(member);
         if (page.total++ < from || room < size)
--- a/packages/membership/apricothook/membership/internal/apricothook_member_table.cpp
+++ b/packages/membership/apricothook/membership/internal/apricothook_member_table.cpp
@@ -14,7 +14,7 @@
 
 MemberChange changeBetween(const MemberRecord &before, const MemberUpdate &after)
 {
-    if (after.life.incarnation != before.update.life.incarnation)
+    if (after.instance.incarnation != before.update.instance.incarnation)
         return MemberChange::Replaced;
     const MemberState old = before.update.state;
     if (after.state == MemberState::Dead && old != MemberState::Dead)
@@ -31,14 +31,14 @@
 
 bool isBefore(const MemberUpdate &update, const MemberId &member)
 {
-    return update.life.member < member;
+    return update.instance.member < member;
 }
 
 } // namespace
 
 MemberChange MemberTable::merge(const MemberUpdate &update, Instant now)
 {
-    MemberRecord *known = find(update.life.member);
+    MemberRecord *known = find(update.instance.member);
     if (!known)
         return add(update, now);
     if (!replaces(update, known->update))
@@ -63,7 +63,7 @@
     // A dead stranger is none of our news: it would only be spread again and again.
     if (update.state == MemberState::Dead)
         return MemberChange::None;
-    MemberRecord &record = m_records[update.life.member];
+    MemberRecord &record = m_records[update.instance.member];
     record.update = update;
     record.since = now;
     record.isLeaving = update.state == MemberState::Leaving;
@@ -74,12 +74,13 @@
 
 void MemberTable::setLoad(const MemberUpdate &update)
 {
-    MemberRecord *known = find(update.life.member);
-    if (!known || known->update.life != update.life)
+    MemberRecord *known = find(update.instance.member);
+    if (!known || known->update.instance != update.instance)
         return;
     known->update.load = update.load;
-    const auto place = std::lower_bound(m_live.begin(), m_live.end(), update.life.member, isBefore);
-    if (place != m_live.end() && place->life == update.life)
+    const auto place
+        = std::lower_bound(m_live.begin(), m_live.end(), update.instance.member, isBefore);
+    if (place != m_live.end() && place->instance == update.instance)
         place->load = update.load;
 }
 
@@ -98,7 +99,7 @@
 const MemberUpdate *MemberTable::findLive(const MemberId &member) const
 {
     const auto place = std::lower_bound(m_live.begin(), m_live.end(), member, isBefore);
-    return place != m_live.end() && place->life.member == member ? &*place : nullptr;
+    return place != m_live.end() && place->instance.member == member ? &*place : nullptr;
 }
 
 void MemberTable::refreshSuspects(Instant now)
@@ -119,7 +120,7 @@
 
 void MemberTable::sort(const MemberUpdate &update)
 {
-    const MemberId &member = update.life.member;
+    const MemberId &member = update.instance.member;
     m_suspects.erase(member);
     m_dead.erase(member);
     if (update.state == MemberState::Suspect)
@@ -131,8 +132,9 @@
 void MemberTable::show(const MemberRecord &record)
 {
     MemberUpdate shown = record.update;
-    const auto place = std::lower_bound(m_live.begin(), m_live.end(), shown.life.member, isBefore);
-    const bool isShown = place != m_live.end() && place->life.member == shown.life.member;
+    const auto place
+        = std::lower_bound(m_live.begin(), m_live.end(), shown.instance.member, isBefore);
+    const bool isShown = place != m_live.end() && place->instance.member == shown.instance.member;
     // A leaving member that is suspected stays a leaving one: as a mere suspect it would get new
     // work again.
     if (shown.state == MemberState::Suspect && record.isLeaving)
--- a/packages/membership/apricothook/membership/internal/apricothook_pending_probes.cpp
+++ b/packages/membership/apricothook/membership/internal/apricothook_pending_probes.cpp
@@ -26,7 +26,7 @@
 {
     const auto place
         = std::find_if(m_probes.begin(), m_probes.end(), [&](const PendingProbe &probe) {
-              return probe.sequence == sequence && probe.subject.life.member == subject;
+              return probe.sequence == sequence && probe.subject.instance.member == subject;
           });
     if (place == m_probes.end())
         return std::nullopt;
--- a/packages/membership/apricothook/membership/internal/apricothook_probe_order.cpp
+++ b/packages/membership/apricothook/membership/internal/apricothook_probe_order.cpp
@@ -20,8 +20,8 @@
 {
     const auto place = std::lower_bound(
         live.begin(), live.end(), member,
-        [](const MemberUpdate &update, const MemberId &id) { return update.life.member < id; });
-    return place != live.end() && place->life.member == member ? &*place : nullptr;
+        [](const MemberUpdate &update, const MemberId &id) { return update.instance.member < id; });
+    return place != live.end() && place->instance.member == member ? &*place : nullptr;
 }
 
 } // namespace
@@ -64,8 +64,9 @@
 {
     ring = Ring {};
     for (const MemberUpdate &member : live)
-        if (member.life.member != self.life.member && distanceBetween(self, member) == distance)
-            ring.members.push_back(member.life.member);
+        if (member.instance.member != self.instance.member
+            && distanceBetween(self, member) == distance)
+            ring.members.push_back(member.instance.member);
     for (std::size_t i = ring.members.size(); i > 1; --i)
         std::swap(ring.members[i - 1], ring.members[m_random.next() % i]);
 }
--- a/packages/membership/apricothook/membership/internal/apricothook_update_order.cpp
+++ b/packages/membership/apricothook/membership/internal/apricothook_update_order.cpp
@@ -8,7 +8,7 @@
 
 auto rankOf(const MemberUpdate &update)
 {
-    return std::tuple(update.life.incarnation, update.refutation, update.state);
+    return std::tuple(update.instance.incarnation, update.refutation, update.state);
 }
 
 std::size_t endpointBound(const Endpoint &endpoint)
@@ -28,7 +28,7 @@
 {
     // Array, incarnation, state, refutation, load, and the heads of the three names.
     constexpr std::size_t Heads = 1 + 9 + 1 + 3 + 5 + 3 * 2;
-    return Heads + update.life.member.text().size() + update.dataCentre.text().size()
+    return Heads + update.instance.member.text().size() + update.dataCentre.text().size()
         + update.region.text().size() + endpointBound(update.peerAddress)
         + endpointBound(update.callerAddress);
 }
--- a/packages/membership/apricothook/membership/internal/apricothook_update_queue.cpp
+++ b/packages/membership/apricothook/membership/internal/apricothook_update_queue.cpp
@@ -7,7 +7,7 @@
 
 void UpdateQueue::add(const MemberUpdate &update)
 {
-    m_entries[update.life.member] = {update, 0};
+    m_entries[update.instance.member] = {update, 0};
 }
 
 void UpdateQueue::fill(std::vector<MemberUpdate> &updates, std::size_t bytes,
--- a/packages/membership/tests/apricothook_fake_fleet.cpp
+++ b/packages/membership/tests/apricothook_fake_fleet.cpp
@@ -33,7 +33,7 @@
         while (place >= regions[region])
             place -= regions[region++];
         Member member;
-        member.update.life = {MemberId("entry-" + std::to_string(i)), Incarnation(1)};
+        member.update.instance = {MemberId("entry-" + std::to_string(i)), Incarnation(1)};
         member.update.peerAddress = addressOf(i);
         member.update.callerAddress = {addressOf(i).address, 8080};
         member.update.dataCentre = DataCentreId(dataCentre);
@@ -64,12 +64,12 @@
     // As a wall clock gives it: the codec's largest form.
     constexpr std::uint64_t Epoch = 1'700'000'000'000;
     Member &member = m_members[number];
-    member.update.life.incarnation = Incarnation(Epoch + incarnation);
+    member.update.instance.incarnation = Incarnation(Epoch + incarnation);
     member.random = std::make_unique<SeededRandom>(m_chance.next());
     member.events = std::make_unique<CountingSink>();
     member.membership = std::make_unique<Membership>(member.update, *member.random, *member.events);
     member.sealer
-        = std::make_unique<PeerSealer>(member.update.life, PeerKeys {{1, "0123456789abcdef"}});
+        = std::make_unique<PeerSealer>(member.update.instance, PeerKeys {{1, "0123456789abcdef"}});
     member.isRunning = true;
     std::vector<Endpoint> seeds;
     for (std::size_t seed = 0; seed < std::min<std::size_t>(size(), Seeds); ++seed)
@@ -128,8 +128,8 @@
         const Member &member = m_members[i];
         if (i == number || !member.isRunning)
             continue;
-        const auto seen = member.membership->find(m_members[number].update.life.member);
-        count += seen && seen->life == m_members[number].update.life ? 1 : 0;
+        const auto seen = member.membership->find(m_members[number].update.instance.member);
+        count += seen && seen->instance == m_members[number].update.instance ? 1 : 0;
     }
     return count;
 }
@@ -181,7 +181,7 @@
             const auto extra = static_cast<std::int64_t>(
                 m_chance.uniform() * static_cast<double>(network.jitter.count()));
             const Instant due = m_now + Duration(1 + extra);
-            m_letters.emplace(due, Letter {from, sender.update.life, letter, due});
+            m_letters.emplace(due, Letter {from, sender.update.instance, letter, due});
         }
     }
 }
@@ -194,7 +194,8 @@
         m_letters.emplace(m_now + Step, letter);
         return;
     }
-    const bool isMeant = letter.mail.to.isEmpty() || letter.mail.to == receiver.update.life.member;
+    const bool isMeant
+        = letter.mail.to.isEmpty() || letter.mail.to == receiver.update.instance.member;
     if (!receiver.isRunning || !isMeant)
         return;
     Mail mail;
--- a/packages/membership/tests/apricothook_fake_fleet.hpp
+++ b/packages/membership/tests/apricothook_fake_fleet.hpp
@@ -98,7 +98,7 @@
     struct Letter
     {
         std::size_t from = 0;
-        MemberLife sender;
+        MemberInstance sender;
         Addressed mail;
         Instant due {};
     };
--- a/packages/membership/tests/apricothook_lookup_tests.cpp
+++ b/packages/membership/tests/apricothook_lookup_tests.cpp
@@ -21,22 +21,22 @@
              MemberState state = MemberState::Alive, std::uint32_t load = 0)
     {
         MemberUpdate member;
-        member.life.member = MemberId("entry-" + std::to_string(number));
+        member.instance.member = MemberId("entry-" + std::to_string(number));
         member.state = state;
         member.callerAddress = {"10.0.0." + std::to_string(number), 8080};
         member.dataCentre = DataCentreId(dataCentre);
         member.region = RegionId(region);
         member.load = load;
         m_live.push_back(member);
-        m_self = m_live.front().life;
+        m_self = m_live.front().instance;
     }
     void setSelf(int number) { m_self.member = MemberId("entry-" + std::to_string(number)); }
-    const MemberLife &self() const override { return m_self; }
+    const MemberInstance &self() const override { return m_self; }
     const std::vector<MemberUpdate> &live() const override { return m_live; }
     std::optional<MemberUpdate> find(const MemberId &member) const override
     {
         for (const MemberUpdate &update : m_live)
-            if (update.life.member == member)
+            if (update.instance.member == member)
                 return update;
         return std::nullopt;
     }
@@ -44,7 +44,7 @@
     double visibleShare() const override { return 1; }
 
 private:
-    MemberLife m_self;
+    MemberInstance m_self;
     std::vector<MemberUpdate> m_live;
 };
 
--- a/packages/membership/tests/apricothook_membership_scale_tests.cpp
+++ b/packages/membership/tests/apricothook_membership_scale_tests.cpp
@@ -188,8 +188,8 @@
                 fleet.start(replaced, 2);
             fleet.run(seconds(1));
             const auto seen = fleet[(replaced + 1) % size].find(fleet[replaced].self().member);
-            RC_ASSERT(!seen || seen->life.incarnation >= newest[replaced]);
-            newest[replaced] = seen ? seen->life.incarnation : newest[replaced];
+            RC_ASSERT(!seen || seen->instance.incarnation >= newest[replaced]);
+            newest[replaced] = seen ? seen->instance.incarnation : newest[replaced];
         }
         fleet.network = {};
         fleet.run(minutes(2));
--- a/packages/membership/tests/apricothook_membership_tests.cpp
+++ b/packages/membership/tests/apricothook_membership_tests.cpp
@@ -125,7 +125,7 @@
     CHECK(fleet.runUntil([&] { return fleet[4].isObsolete(); }, minutes(1)) < 3 * ProbePeriod);
     fleet.run(seconds(30));
     CHECK_FALSE(fleet[heir].isObsolete());
-    CHECK(fleet[0].find(MemberId("entry-4"))->life == fleet.member(heir).update.life);
+    CHECK(fleet[0].find(MemberId("entry-4"))->instance == fleet.member(heir).update.instance);
     CHECK(fleet.member(4).events->count(MembershipEvent::ObsoleteLife) == 1);
     CHECK(fleet[0].visibleShare() == 1);
 }
--- a/packages/model/apricothook/model/apricothook_identifiers.hpp
+++ b/packages/model/apricothook/model/apricothook_identifiers.hpp
@@ -79,11 +79,11 @@
 constexpr std::uint8_t LowestTierRank = 9;
 
 /** A daemon process: its member and the life it is in. */
-struct MemberLife
+struct MemberInstance
 {
     MemberId member;
     Incarnation incarnation;
-    auto operator<=>(const MemberLife &) const = default;
+    auto operator<=>(const MemberInstance &) const = default;
 };
 
 } // namespace Apricothook
--- a/packages/model/apricothook/model/apricothook_member_view.hpp
+++ b/packages/model/apricothook/model/apricothook_member_view.hpp
@@ -12,7 +12,7 @@
 {
 public:
     virtual ~MemberView() = default;
-    virtual const MemberLife &self() const = 0;
+    virtual const MemberInstance &self() const = 0;
     /** Alive and leaving members and this daemon, ordered by member. Suspects count as alive. */
     virtual const std::vector<MemberUpdate> &live() const = 0;
     virtual std::optional<MemberUpdate> find(const MemberId &member) const = 0;
--- a/packages/model/apricothook/model/apricothook_peer_message.hpp
+++ b/packages/model/apricothook/model/apricothook_peer_message.hpp
@@ -26,7 +26,7 @@
 /** One member as somebody knows it; a larger incarnation, then a larger state, replaces it. */
 struct MemberUpdate
 {
-    MemberLife life;
+    MemberInstance instance;
     MemberState state = MemberState::Alive;
     /** Raised by the member itself to refute a suspicion within the same life. */
     std::uint64_t refutation = 0;
@@ -39,8 +39,8 @@
     template <typename A, typename S>
     static void fields(A &a, S &s)
     {
-        a(s.life.member, s.life.incarnation, s.state, s.refutation, s.peerAddress, s.callerAddress,
-          s.dataCentre, s.region, s.load);
+        a(s.instance.member, s.instance.incarnation, s.state, s.refutation, s.peerAddress,
+          s.callerAddress, s.dataCentre, s.region, s.load);
     }
     auto operator<=>(const MemberUpdate &) const = default;
 };
@@ -183,7 +183,7 @@
 /** Names one attempt of one exchange; the same in every resend of its messages. */
 struct AttemptId
 {
-    MemberLife entry;
+    MemberInstance entry;
     ExchangeId exchange;
     std::uint32_t attempt = 0;
     template <typename A, typename S>
@@ -232,7 +232,7 @@
     AttemptId attempt;
     RequestKey key;
     GrantVerdict verdict = GrantVerdict::Granted;
-    MemberLife holder;
+    MemberInstance holder;
     Generation generation;
     /** Where the granted attempt went, so that its stream can be resumed if the holder is gone. */
     TargetId target;
@@ -296,7 +296,7 @@
 };
 
 enum class KeyState : std::uint8_t {
-    Unheard,
+    NotSeen,
     Running,
     Answered,
     NotRun,
@@ -309,8 +309,8 @@
 {
     std::uint64_t sequence = 0;
     RequestKey key;
-    KeyState state = KeyState::Unheard;
-    MemberLife holder;
+    KeyState state = KeyState::NotSeen;
+    MemberInstance holder;
     /** Where the stream of a run may be resumed whose holder died; empty otherwise. */
     TargetId target;
     template <typename A, typename S>
@@ -471,7 +471,7 @@
 /** What an entry has running on a shard: renews the reservations, and fills a new ledger. */
 struct InFlightReport
 {
-    MemberLife entry;
+    MemberInstance entry;
     ShardId shard;
     std::vector<InFlight> running;
     template <typename A, typename S>
@@ -540,11 +540,11 @@
     Fingerprint fingerprint;
     std::vector<TargetId> crashed;
     bool isQuarantined = false;
-    Duration left {};
+    Duration remaining {};
     template <typename A, typename S>
     static void fields(A &a, S &s)
     {
-        a(s.fingerprint, s.crashed, s.isQuarantined, s.left);
+        a(s.fingerprint, s.crashed, s.isQuarantined, s.remaining);
     }
     auto operator<=>(const SuspectNotice &) const = default;
 };
@@ -589,11 +589,11 @@
     Fingerprint fingerprint;
     TargetId target;
     /** How long the hint is of use. */
-    Duration left {};
+    Duration remaining {};
     template <typename A, typename S>
     static void fields(A &a, S &s)
     {
-        a(s.key, s.fingerprint, s.target, s.left);
+        a(s.key, s.fingerprint, s.target, s.remaining);
     }
     auto operator<=>(const RunHint &) const = default;
 };
@@ -636,13 +636,13 @@
                    HintReply>;
 
 /** A message on its way to a member. */
-struct Outgoing
+struct OutgoingMessage
 {
     MemberId to;
     PeerMessage message;
-    auto operator<=>(const Outgoing &) const = default;
+    auto operator<=>(const OutgoingMessage &) const = default;
 };
 
-using Outbox = std::vector<Outgoing>;
+using Outbox = std::vector<OutgoingMessage>;
 
 } // namespace Apricothook
--- a/packages/observe/apricothook/observe/apricothook_metrics.cpp
+++ b/packages/observe/apricothook/observe/apricothook_metrics.cpp
@@ -36,30 +36,30 @@
     return use == PrefillUse::Cached ? "cached" : "wasted";
 }
 
-const char *nameOf(Level level)
+const char *nameOf(MetricGauge level)
 {
     switch (level) {
-    case Level::Generation:
+    case MetricGauge::Generation:
         return "apricothook_generation";
-    case Level::LiveMembers:
+    case MetricGauge::LiveMembers:
         return "apricothook_live_members";
-    case Level::CallerConnections:
+    case MetricGauge::CallerConnections:
         return "apricothook_caller_connections";
-    case Level::CallerExchanges:
+    case MetricGauge::CallerExchanges:
         return "apricothook_caller_exchanges";
-    case Level::HeldBodyBytes:
+    case MetricGauge::HeldBodyBytes:
         return "apricothook_held_body_bytes";
-    case Level::WaitingRequests:
+    case MetricGauge::WaitingRequests:
         return "apricothook_waiting_requests";
-    case Level::RunningRequests:
+    case MetricGauge::RunningRequests:
         return "apricothook_running_requests";
-    case Level::KeptKeys:
+    case MetricGauge::KeptKeys:
         return "apricothook_kept_keys";
-    case Level::KeptAnswerBytes:
+    case MetricGauge::KeptAnswerBytes:
         return "apricothook_kept_answer_bytes";
-    case Level::EvacuatedTargets:
+    case MetricGauge::EvacuatedTargets:
         return "apricothook_evacuated_targets";
-    case Level::ColdTargets:
+    case MetricGauge::ColdTargets:
         return "apricothook_cold_targets";
     }
     return "apricothook_unnamed";
@@ -108,12 +108,12 @@
         .Increment();
 }
 
-void Metrics::firstToken(const RequestLabels &labels, Duration after)
+void Metrics::timeToFirstToken(const RequestLabels &labels, Duration after)
 {
     observe(*m_tables, m_tables->firstTokenSeconds, labels, after);
 }
 
-void Metrics::betweenTokens(const RequestLabels &labels, Duration gap)
+void Metrics::interTokenLatency(const RequestLabels &labels, Duration gap)
 {
     observe(*m_tables, m_tables->betweenTokensSeconds, labels, gap);
 }
@@ -129,7 +129,7 @@
         .Increment(static_cast<double>(tokens));
 }
 
-void Metrics::set(Level level, double value)
+void Metrics::set(MetricGauge level, double value)
 {
     prometheus::BuildGauge()
         .Name(nameOf(level))
@@ -151,7 +151,7 @@
         .Set(lowest.rank());
 }
 
-void Metrics::repeatDecided(const ServiceId &service, bool isGranted)
+void Metrics::retryDecided(const ServiceId &service, bool isGranted)
 {
     const std::string verdict = isGranted ? "granted" : "denied";
     const std::lock_guard lock(m_tables->mutex);
@@ -166,7 +166,7 @@
     m_tables->controlBytes.Add({{"direction", name}}).Increment(static_cast<double>(bytes));
 }
 
-void Metrics::rankCustomers(Instant now)
+void Metrics::updateTopCustomers(Instant now)
 {
     MetricsTables &tables = *m_tables;
     const std::lock_guard lock(tables.mutex);
--- a/packages/observe/apricothook/observe/apricothook_metrics.hpp
+++ b/packages/observe/apricothook/observe/apricothook_metrics.hpp
@@ -14,7 +14,7 @@
 class MetricsTables;
 
 /** A value that goes up and down. */
-enum class Level {
+enum class MetricGauge {
     Generation,
     LiveMembers,
     CallerConnections,
@@ -60,21 +60,21 @@
     void requestEnded(const RequestLabels &labels, RequestResult result, Duration took);
     void refused(Tier tier, RefusalReason reason);
     /** From the request's arrival to the first byte of its answer. */
-    void firstToken(const RequestLabels &labels, Duration after);
+    void timeToFirstToken(const RequestLabels &labels, Duration after);
     /** The mean gap of an answer's tokens, or a single gap. */
-    void betweenTokens(const RequestLabels &labels, Duration gap);
+    void interTokenLatency(const RequestLabels &labels, Duration gap);
     /** From arrival to reservation. */
     void queueWait(const RequestLabels &labels, Duration waited);
     void prefill(Tier tier, PrefillUse use, std::uint64_t tokens);
-    void set(Level level, double value);
+    void set(MetricGauge level, double value);
     void setRing(std::string_view ring, std::size_t items);
     /** The lowest tier that a service admits. */
     void setFloor(const ServiceId &service, Tier lowest);
     /** A request to the service would be sent again: the retry budget grants it or not. */
-    void repeatDecided(const ServiceId &service, bool isGranted);
+    void retryDecided(const ServiceId &service, bool isGranted);
     void controlBytes(Direction direction, std::uint64_t bytes);
     /** Call about once a second: gives places to the customers with the most traffic. */
-    void rankCustomers(Instant now);
+    void updateTopCustomers(Instant now);
 
     /** The text format of Prometheus. */
     std::string text() const;
--- a/packages/observe/apricothook/observe/apricothook_metrics_server.hpp
+++ b/packages/observe/apricothook/observe/apricothook_metrics_server.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <apricothook/model/apricothook_endpoint.hpp>
-#include <apricothook/model/apricothook_failure.hpp>
+#include <apricothook/model/apricothook_result.hpp>
 
 #include <cstdint>
 
--- a/packages/observe/apricothook/observe/apricothook_structured_log.cpp
+++ b/packages/observe/apricothook/observe/apricothook_structured_log.cpp
@@ -51,7 +51,7 @@
 
 } // namespace
 
-LogEvent &LogEvent::about(const RequestKey &request)
+LogEvent &LogEvent::forRequest(const RequestKey &request)
 {
     m_request = request;
     return *this;
@@ -81,7 +81,7 @@
     return *this;
 }
 
-LogEvent &LogEvent::isRoutine()
+LogEvent &LogEvent::markRoutine()
 {
     m_routine = true;
     return *this;
--- a/packages/observe/apricothook/observe/apricothook_structured_log.hpp
+++ b/packages/observe/apricothook/observe/apricothook_structured_log.hpp
@@ -32,7 +32,7 @@
     }
 
     /** The request that the event is about. */
-    LogEvent &about(const RequestKey &request);
+    LogEvent &forRequest(const RequestKey &request);
     /** `name` must be a literal. */
     LogEvent &with(std::string_view name, std::string value);
     LogEvent &with(std::string_view name, double value);
@@ -45,7 +45,7 @@
         return *this;
     }
     /** Ordinary successes; left out first when there are too many lines. */
-    LogEvent &isRoutine();
+    LogEvent &markRoutine();
 
     int number() const { return m_number; }
     bool routine() const { return m_routine; }
--- a/packages/observe/tests/apricothook_observe_tests.cpp
+++ b/packages/observe/tests/apricothook_observe_tests.cpp
@@ -21,7 +21,7 @@
 
 namespace {
 
-class HandClock : public Clock
+class ManualClock : public Clock
 {
 public:
     Instant now() const override { return time; }
@@ -80,7 +80,7 @@
 {
     TEST_CASE("An event's line has its number, name, key and details at its level")
     {
-        HandClock clock;
+        ManualClock clock;
         LineCollector log;
         LogSink sink(clock);
         sink.record(DecisionEvent {402, RequestKey("k1"), "service=llm floor=3"});
@@ -96,7 +96,7 @@
     {
         // Thousands of refusals a second arrive together with the one line that says why. The
         // operator must find that line, and how many refusals there were.
-        HandClock clock;
+        ManualClock clock;
         LineCollector log;
         LogSink sink(clock);
         for (int event = 0; event < 1000; ++event)
@@ -111,7 +111,7 @@
 
     TEST_CASE("A check that needs every event gets every line up to the limit that it set")
     {
-        HandClock clock;
+        ManualClock clock;
         LineCollector log;
         LogSink sink(clock, 500);
         for (int event = 0; event < 600; ++event)
@@ -134,17 +134,17 @@
         metrics.requestEnded(labelsOf("c1"), RequestResult::Answered,
                              std::chrono::milliseconds(300));
         metrics.requestEnded(labelsOf("c1"), RequestResult::NotRun, std::chrono::milliseconds(5));
-        metrics.betweenTokens(labelsOf("c1"), std::chrono::milliseconds(44));
-        metrics.firstToken(labelsOf("c1"), std::chrono::milliseconds(461));
+        metrics.interTokenLatency(labelsOf("c1"), std::chrono::milliseconds(44));
+        metrics.timeToFirstToken(labelsOf("c1"), std::chrono::milliseconds(461));
         metrics.prefill(Tier(2), PrefillUse::Wasted, 1200);
         metrics.refused(Tier(3), RefusalReason::Shed);
-        metrics.set(Level::Generation, 7);
-        metrics.set(Level::Generation, 8);
+        metrics.set(MetricGauge::Generation, 7);
+        metrics.set(MetricGauge::Generation, 8);
         metrics.setRing("core", 3);
         metrics.setFloor(ServiceId("llm"), Tier(4));
-        metrics.repeatDecided(ServiceId("llm"), true);
-        metrics.repeatDecided(ServiceId("llm"), false);
-        metrics.repeatDecided(ServiceId("llm"), false);
+        metrics.retryDecided(ServiceId("llm"), true);
+        metrics.retryDecided(ServiceId("llm"), false);
+        metrics.retryDecided(ServiceId("llm"), false);
         const std::string text = metrics.text();
         for (const char *line :
              {"apricothook_requests_total{class=\"chat\",result=\"answered\",tier=\"2\"} 1",
@@ -171,7 +171,7 @@
             const std::string number = std::to_string(request % 2500);
             metrics.requestEnded(labelsOf("c" + number, "k" + number), RequestResult::Answered,
                                  std::chrono::milliseconds(20));
-            metrics.rankCustomers(Instant(std::chrono::seconds(request)));
+            metrics.updateTopCustomers(Instant(std::chrono::seconds(request)));
         }
         const std::string text = metrics.text();
         CHECK(contains(text, "class=\"other\""));
--- a/packages/observe/tests/apricothook_structured_log_tests.cpp
+++ b/packages/observe/tests/apricothook_structured_log_tests.cpp
@@ -1,6 +1,6 @@
 #include <apricothook/observe/apricothook_structured_log.hpp>
 
-#include <apricothook/testsupport/apricothook_hand_clock.hpp>
+#include <apricothook/testsupport/apricothook_manual_clock.hpp>
 
 #include <doctest/doctest.h>
 #include <json/reader.h>
@@ -62,7 +62,7 @@
 TEST_CASE("a line is one JSON object with the event's values")
 {
     LogEvent event(TestEvent::Known);
-    event.about(RequestKey("r\"1\n")).with("target", std::string("t")).with("load", 3U);
+    event.forRequest(RequestKey("r\"1\n")).with("target", std::string("t")).with("load", 3U);
     event.with("waited_ms", Duration(1500)).with("ready", true);
     const std::string line = structuredLine(event, "vm-1", 12, Instant(Duration(7)), 2);
     CHECK(line.ends_with("}\n"));
@@ -89,7 +89,7 @@
 TEST_CASE("a storm of one event keeps within its lines a second and hides no other")
 {
     // Whoever reads the log sees the other event, and how many lines the storm left out.
-    HandClock clock;
+    ManualClock clock;
     Pipe pipe;
     {
         StructuredLog log(clock, "vm", pipe.writer());
@@ -111,14 +111,14 @@
 {
     // Requests go on as before. The reader of standard output is stuck, the pipe is full, and the
     // buffer fills: routine lines are dropped first, then all, and counted.
-    HandClock clock;
+    ManualClock clock;
     Pipe pipe;
     StructuredLog log(clock, "vm", pipe.writer());
     const std::string padding(4000, 'x');
     constexpr int Lines = 2000;
     for (int i = 0; i < Lines; ++i) {
         LogEvent event(TestEvent::Known);
-        event.with("padding", padding).isRoutine();
+        event.with("padding", padding).markRoutine();
         log.write(event);
         clock.advance(std::chrono::milliseconds(100));
     }
--- a/packages/peers/apricothook/peers/apricothook_known_enumerators.hpp
+++ b/packages/peers/apricothook/peers/apricothook_known_enumerators.hpp
@@ -50,7 +50,7 @@
 constexpr bool isKnown(KeyState state)
 {
     switch (state) {
-    case KeyState::Unheard:
+    case KeyState::NotSeen:
     case KeyState::Running:
     case KeyState::Answered:
     case KeyState::NotRun:
--- a/packages/peers/apricothook/peers/apricothook_peer_seal.cpp
+++ b/packages/peers/apricothook/peers/apricothook_peer_seal.cpp
@@ -16,7 +16,7 @@
 {
     std::uint8_t version = 0;
     std::uint32_t keyNumber = 0;
-    MemberLife from;
+    MemberInstance from;
     MemberId recipient;
     std::uint64_t sequence = 0;
     template <typename A, typename S>
@@ -28,7 +28,7 @@
 
 } // namespace
 
-PeerSealer::PeerSealer(MemberLife self, const PeerKeys &keys)
+PeerSealer::PeerSealer(MemberInstance self, const PeerKeys &keys)
     : m_self(std::move(self)), m_signer(std::make_unique<PeerSigner>(keys))
 {
 }
--- a/packages/peers/apricothook/peers/apricothook_peer_seal.hpp
+++ b/packages/peers/apricothook/peers/apricothook_peer_seal.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
-#include <apricothook/model/apricothook_failure.hpp>
 #include <apricothook/model/apricothook_identifiers.hpp>
+#include <apricothook/model/apricothook_result.hpp>
 #include <apricothook/peers/apricothook_peer_keys.hpp>
 
 #include <cstdint>
@@ -26,7 +26,7 @@
 /** An authenticated datagram. */
 struct OpenedDatagram
 {
-    MemberLife from;
+    MemberInstance from;
     /** The messages; a view into the datagram. */
     std::string_view payload;
 };
@@ -35,7 +35,7 @@
 class PeerSealer
 {
 public:
-    PeerSealer(MemberLife self, const PeerKeys &keys);
+    PeerSealer(MemberInstance self, const PeerKeys &keys);
     ~PeerSealer();
     /** Header, payload and signature. An empty recipient: whoever has the address. */
     std::string seal(const MemberId &recipient, std::string_view payload);
@@ -43,7 +43,7 @@
     std::size_t overhead(const MemberId &recipient) const;
 
 private:
-    MemberLife m_self;
+    MemberInstance m_self;
     std::unique_ptr<PeerSigner> m_signer;
     std::uint64_t m_sequence = 0;
 };
--- a/packages/peers/apricothook/peers/apricothook_peer_transport.cpp
+++ b/packages/peers/apricothook/peers/apricothook_peer_transport.cpp
@@ -4,10 +4,9 @@
 
 namespace Apricothook {
 
-Result<std::unique_ptr<PeerTransport>, TransportError> PeerTransport::open(const MemberLife &self,
-                                                                           const Endpoint &address,
-                                                                           const PeerKeys &keys,
-                                                                           CoreInbox &inbox)
+Result<std::unique_ptr<PeerTransport>, TransportError>
+PeerTransport::open(const MemberInstance &self, const Endpoint &address, const PeerKeys &keys,
+                    CoreInbox &inbox)
 {
     if (keys.empty())
         return TransportError::NoKey;
--- a/packages/peers/apricothook/peers/apricothook_peer_transport.hpp
+++ b/packages/peers/apricothook/peers/apricothook_peer_transport.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <apricothook/model/apricothook_failure.hpp>
+#include <apricothook/model/apricothook_result.hpp>
 #include <apricothook/peers/apricothook_peer_counters.hpp>
 #include <apricothook/peers/apricothook_peer_keys.hpp>
 #include <apricothook/ports/apricothook_core_ports.hpp>
@@ -28,13 +28,15 @@
  *
  * send() and flush() belong to one thread, the core's: messages wait until flush(), are packed by
  * member and leave at once without blocking; what the kernel doesn't take is lost and counted. A
- * thread of the transport receives, checks and gives PeerArrived to the core.
+ * thread of the transport receives, checks and gives PeerMessageReceived to the core.
  */
 class PeerTransport : public PeerPort
 {
 public:
-    static Result<std::unique_ptr<PeerTransport>, TransportError>
-    open(const MemberLife &self, const Endpoint &address, const PeerKeys &keys, CoreInbox &inbox);
+    static Result<std::unique_ptr<PeerTransport>, TransportError> open(const MemberInstance &self,
+                                                                       const Endpoint &address,
+                                                                       const PeerKeys &keys,
+                                                                       CoreInbox &inbox);
     ~PeerTransport() override;
 
     void send(const MemberId &to, const Endpoint &address, const PeerMessage &message) override;
--- a/packages/peers/apricothook/peers/internal/apricothook_peer_socket.cpp
+++ b/packages/peers/apricothook/peers/internal/apricothook_peer_socket.cpp
@@ -17,7 +17,7 @@
 
 } // namespace
 
-PeerSocket::PeerSocket(const MemberLife &self, const PeerKeys &keys, CoreInbox &inbox)
+PeerSocket::PeerSocket(const MemberInstance &self, const PeerKeys &keys, CoreInbox &inbox)
     : m_inbox(inbox), m_sealer(self, keys), m_opener(self.member, keys)
 {
 }
@@ -116,12 +116,12 @@
         give(opened.value().from, address, std::move(message));
 }
 
-void PeerSocket::give(const MemberLife &from, const Endpoint &address, DecodedMessage decoded)
+void PeerSocket::give(const MemberInstance &from, const Endpoint &address, DecodedMessage decoded)
 {
     PeerCounterTable::Kind &kind = m_counters.received[decoded.message.index()];
     ++kind.messages;
     kind.bytes += decoded.bytes;
-    if (!m_inbox.tryGive(PeerArrived {from, address, std::move(decoded.message)}))
+    if (!m_inbox.tryPost(PeerMessageReceived {from, address, std::move(decoded.message)}))
         ++m_counters.inboxFull;
 }
 
--- a/packages/peers/apricothook/peers/internal/apricothook_peer_socket.hpp
+++ b/packages/peers/apricothook/peers/internal/apricothook_peer_socket.hpp
@@ -17,7 +17,7 @@
 class PeerSocket : public ACE_Task_Base
 {
 public:
-    PeerSocket(const MemberLife &self, const PeerKeys &keys, CoreInbox &inbox);
+    PeerSocket(const MemberInstance &self, const PeerKeys &keys, CoreInbox &inbox);
     ~PeerSocket() override;
     bool open(const ACE_INET_Addr &address);
 
@@ -32,7 +32,7 @@
     void sendOne(const PackedMessages &packed);
     void receiveOne(std::string &buffer);
     void take(std::string_view datagram, const Endpoint &address);
-    void give(const MemberLife &from, const Endpoint &address, DecodedMessage decoded);
+    void give(const MemberInstance &from, const Endpoint &address, DecodedMessage decoded);
 
     CoreInbox &m_inbox;
     PeerSealer m_sealer;
--- a/packages/peers/apricothook/peers/internal/apricothook_replay_windows.cpp
+++ b/packages/peers/apricothook/peers/internal/apricothook_replay_windows.cpp
@@ -4,7 +4,7 @@
 
 namespace Apricothook {
 
-bool ReplayWindows::accept(const MemberLife &sender, std::uint64_t sequence)
+bool ReplayWindows::accept(const MemberInstance &sender, std::uint64_t sequence)
 {
     if (m_entries.size() >= Capacity && !m_entries.contains(sender))
         forgetOne();
--- a/packages/peers/apricothook/peers/internal/apricothook_replay_windows.hpp
+++ b/packages/peers/apricothook/peers/internal/apricothook_replay_windows.hpp
@@ -18,7 +18,7 @@
     /** Lives kept: more than twice the fleet and a day of replacements; the longest silent goes. */
     static constexpr std::size_t Capacity = 1024;
 
-    bool accept(const MemberLife &sender, std::uint64_t sequence);
+    bool accept(const MemberInstance &sender, std::uint64_t sequence);
 
 private:
     struct Entry
@@ -29,7 +29,7 @@
 
     void forgetOne();
 
-    std::map<MemberLife, Entry> m_entries;
+    std::map<MemberInstance, Entry> m_entries;
     std::uint64_t m_uses = 0;
 };
 
--- a/packages/peers/benchmarks/apricothook_peers_cost.cpp
+++ b/packages/peers/benchmarks/apricothook_peers_cost.cpp
@@ -3,7 +3,7 @@
 #include <apricothook/peers/apricothook_peer_codec.hpp>
 #include <apricothook/peers/apricothook_peer_seal.hpp>
 #include <apricothook/peers/apricothook_peer_transport.hpp>
-#include <apricothook/ports/apricothook_bounded_ring.hpp>
+#include <apricothook/ports/apricothook_bounded_queue.hpp>
 #include <apricothook/ports/apricothook_core_inbox.hpp>
 
 #include <sys/resource.h>
@@ -25,8 +25,8 @@
 namespace {
 
 const PeerKeys Keys {{1, "0123456789abcdef0123456789abcdef"}};
-const MemberLife First {MemberId("entry-017"), Incarnation(1'700'000'000'123)};
-const MemberLife Second {MemberId("entry-018"), Incarnation(1'700'000'000'456)};
+const MemberInstance First {MemberId("entry-017"), Incarnation(1'700'000'000'123)};
+const MemberInstance Second {MemberId("entry-018"), Incarnation(1'700'000'000'456)};
 constexpr std::size_t DatagramHeaders = 28;
 
 AttemptId attempt()
@@ -93,7 +93,7 @@
 Probe probe(std::size_t updates)
 {
     MemberUpdate update;
-    update.life = First;
+    update.instance = First;
     update.peerAddress = {"10.1.2.3", 7000};
     update.callerAddress = {"10.1.2.3", 8080};
     update.dataCentre = DataCentreId("taipei-2");
@@ -126,12 +126,15 @@
 class RingInbox : public CoreInbox
 {
 public:
-    bool tryGive(CoreEvent event) override { return m_ring.tryPut(std::move(event)); }
-    void give(CoreEvent event) override { m_ring.tryPut(std::move(event)); }
-    PeerArrived take() { return std::get<PeerArrived>(*m_ring.take(std::chrono::seconds(5))); }
+    bool tryPost(CoreEvent event) override { return m_ring.tryPush(std::move(event)); }
+    void post(CoreEvent event) override { m_ring.tryPush(std::move(event)); }
+    PeerMessageReceived take()
+    {
+        return std::get<PeerMessageReceived>(*m_ring.pop(std::chrono::seconds(5)));
+    }
 
 private:
-    BoundedRing<CoreEvent> m_ring {64};
+    BoundedQueue<CoreEvent> m_ring {64};
 };
 
 /** Both ends with their sockets, threads and rings. */
@@ -147,7 +150,7 @@
     for (int i = 0; i < exchanges; ++i) {
         first.value()->send(Second.member, secondAddress, grantRequest());
         first.value()->flush();
-        const PeerArrived asked = secondInbox.take();
+        const PeerMessageReceived asked = secondInbox.take();
         second.value()->send(First.member, firstAddress,
                              grantReply(std::get<GrantRequest>(asked.message)));
         second.value()->flush();
--- a/packages/peers/tests/apricothook_peer_seal_tests.cpp
+++ b/packages/peers/tests/apricothook_peer_seal_tests.cpp
@@ -10,7 +10,7 @@
 
 const PeerKey OldKey {1, "0123456789abcdef"};
 const PeerKey NewKey {2, "fedcba9876543210"};
-const MemberLife Sender {MemberId("entry-1"), Incarnation(5)};
+const MemberInstance Sender {MemberId("entry-1"), Incarnation(5)};
 const MemberId Receiver("entry-2");
 
 SealError refusalOf(PeerOpener &opener, const std::string &datagram)
--- a/packages/peers/tests/apricothook_peer_transport_tests.cpp
+++ b/packages/peers/tests/apricothook_peer_transport_tests.cpp
@@ -2,7 +2,7 @@
 #include <apricothook/peers/apricothook_peer_seal.hpp>
 #include <apricothook/peers/apricothook_peer_transport.hpp>
 #include <apricothook/peers/internal/apricothook_peer_packer.hpp>
-#include <apricothook/ports/apricothook_bounded_ring.hpp>
+#include <apricothook/ports/apricothook_bounded_queue.hpp>
 #include <apricothook/ports/apricothook_core_inbox.hpp>
 
 #include <ace/INET_Addr.h>
@@ -18,26 +18,26 @@
 namespace {
 
 const PeerKeys Keys {{1, "0123456789abcdef"}};
-const MemberLife First {MemberId("entry-1"), Incarnation(1)};
-const MemberLife Second {MemberId("entry-2"), Incarnation(1)};
+const MemberInstance First {MemberId("entry-1"), Incarnation(1)};
+const MemberInstance Second {MemberId("entry-2"), Incarnation(1)};
 constexpr Duration Patience = std::chrono::seconds(5);
 
 class FakeInbox : public CoreInbox
 {
 public:
     explicit FakeInbox(std::size_t room) : m_ring(room) { }
-    bool tryGive(CoreEvent event) override { return m_ring.tryPut(std::move(event)); }
-    void give(CoreEvent event) override { m_ring.tryPut(std::move(event)); }
-    std::optional<PeerArrived> take(Duration patience = Patience)
+    bool tryPost(CoreEvent event) override { return m_ring.tryPush(std::move(event)); }
+    void post(CoreEvent event) override { m_ring.tryPush(std::move(event)); }
+    std::optional<PeerMessageReceived> take(Duration patience = Patience)
     {
-        const std::optional<CoreEvent> event = m_ring.take(patience);
+        const std::optional<CoreEvent> event = m_ring.pop(patience);
         if (!event)
             return std::nullopt;
-        return std::get<PeerArrived>(*event);
+        return std::get<PeerMessageReceived>(*event);
     }
 
 private:
-    BoundedRing<CoreEvent> m_ring;
+    BoundedQueue<CoreEvent> m_ring;
 };
 
 /** A port of the loopback that was free a moment ago. */
@@ -52,7 +52,7 @@
 
 struct Daemon
 {
-    explicit Daemon(const MemberLife &life, std::size_t room = 100)
+    explicit Daemon(const MemberInstance &life, std::size_t room = 100)
         : address(freeEndpoint())
         , inbox(room)
         , transport(PeerTransport::open(life, address, Keys, inbox).value())
@@ -73,7 +73,7 @@
         first.transport->send(Second.member, second.address, DigestRequest {i});
     first.transport->flush();
     for (std::uint64_t i = 0; i < 10; ++i) {
-        const std::optional<PeerArrived> arrived = second.inbox.take();
+        const std::optional<PeerMessageReceived> arrived = second.inbox.take();
         REQUIRE(arrived);
         CHECK(arrived->from == First);
         CHECK(arrived->address == first.address);
@@ -99,7 +99,7 @@
     tooLong.leaving.assign(4000, VmId(std::string(20, 'v')));
     first.transport->send(Second.member, second.address, tooLong);
     first.transport->flush();
-    const std::optional<PeerArrived> arrived = second.inbox.take();
+    const std::optional<PeerMessageReceived> arrived = second.inbox.take();
     REQUIRE(arrived);
     CHECK(arrived->message == PeerMessage(report));
     CHECK(first.transport->counters().tooLong == 1);
--- a/packages/ports/apricothook/ports/apricothook_bounded_ring.hpp
+++ b/packages/ports/apricothook/ports/apricothook_bounded_queue.hpp
@@ -19,26 +19,26 @@
  * would let one slow duty stop all the others.
  */
 template <typename T>
-class BoundedRing
+class BoundedQueue
 {
 public:
-    explicit BoundedRing(std::size_t capacity)
+    explicit BoundedQueue(std::size_t capacity)
         // The queue counts the bytes of its items; its water marks are set to match.
         : m_queue(capacity * sizeof(T), capacity * sizeof(T))
     {
     }
-    ~BoundedRing()
+    ~BoundedQueue()
     {
-        while (tryTake()) { }
+        while (tryPop()) { }
     }
-    BoundedRing(const BoundedRing &) = delete;
-    BoundedRing &operator=(const BoundedRing &) = delete;
+    BoundedQueue(const BoundedQueue &) = delete;
+    BoundedQueue &operator=(const BoundedQueue &) = delete;
 
     /** False when the ring is full or closed; `value` is lost then. */
-    bool tryPut(T value) { return tryPutOrKeep(value); }
+    bool tryPush(T value) { return tryPushOrKeep(value); }
 
-    /** As tryPut(), but `value` is as it was when this is false. */
-    bool tryPutOrKeep(T &value)
+    /** As tryPush(), but `value` is as it was when this is false. */
+    bool tryPushOrKeep(T &value)
     {
         auto owned = std::make_unique<T>(std::move(value));
         ACE_Time_Value immediately = ACE_OS::gettimeofday();
@@ -50,10 +50,10 @@
         return true;
     }
 
-    std::optional<T> tryTake() { return take(Duration::zero()); }
+    std::optional<T> tryPop() { return pop(Duration::zero()); }
 
     /** Waits up to `patience`; nothing when none came or the ring was closed. */
-    std::optional<T> take(Duration patience)
+    std::optional<T> pop(Duration patience)
     {
         ACE_Time_Value until = ACE_OS::gettimeofday();
         until += ACE_Time_Value(patience.count() / MicrosecondsPerSecond,
--- a/packages/ports/apricothook/ports/apricothook_core_event.hpp
+++ b/packages/ports/apricothook/ports/apricothook_core_event.hpp
@@ -13,9 +13,9 @@
 namespace Apricothook {
 
 /** A message from another daemon, already authenticated. */
-struct PeerArrived
+struct PeerMessageReceived
 {
-    MemberLife from;
+    MemberInstance from;
     Endpoint address;
     PeerMessage message;
 };
@@ -80,7 +80,7 @@
 
 using CoreEvent
     = std::variant<CallerRequest, CallerGone, KeyLookup, EntriesLookup, DispatchStarted,
-                   DispatchEnded, EngineOrderEnded, LoadReport, CacheEvents, PeerArrived,
+                   DispatchEnded, EngineOrderEnded, LoadReport, CacheEvents, PeerMessageReceived,
                    ConfigurationArrived, ConfigurationRejected, VmsArrived, PlatformReachability,
                    KeptAnswerArrived, OperatorAsked, KeptAnswerAsked, StopRequested>;
 
--- a/packages/ports/apricothook/ports/apricothook_core_inbox.hpp
+++ b/packages/ports/apricothook/ports/apricothook_core_inbox.hpp
@@ -10,12 +10,12 @@
 public:
     virtual ~CoreInbox() = default;
     /** False when the core is behind: the giver must refuse its work as not run, never wait. */
-    virtual bool tryGive(CoreEvent event) = 0;
+    virtual bool tryPost(CoreEvent event) = 0;
     /**
      * For events that must not be lost, such as the end of a dispatch: kept by the giver's side of
      * the ring until there is room. There are at most as many of them as there is work admitted.
      */
-    virtual void give(CoreEvent event) = 0;
+    virtual void post(CoreEvent event) = 0;
 };
 
 } // namespace Apricothook
--- a/packages/ports/tests/apricothook_answer_stream_tests.cpp
+++ b/packages/ports/tests/apricothook_answer_stream_tests.cpp
@@ -1,5 +1,5 @@
 #include <apricothook/ports/apricothook_answer_stream.hpp>
-#include <apricothook/ports/apricothook_bounded_ring.hpp>
+#include <apricothook/ports/apricothook_bounded_queue.hpp>
 #include <apricothook/ports/apricothook_core_inbox.hpp>
 #include <apricothook/ports/apricothook_core_ports.hpp>
 
@@ -84,24 +84,24 @@
 
 TEST_CASE("A full ring refuses at once and takes again when it has room")
 {
-    BoundedRing<int> ring(2);
-    CHECK(ring.tryPut(1));
-    CHECK(ring.tryPut(2));
-    CHECK_FALSE(ring.tryPut(3));
-    CHECK(ring.tryTake() == 1);
-    CHECK(ring.tryPut(4));
-    CHECK(ring.tryTake() == 2);
-    CHECK(ring.tryTake() == 4);
-    CHECK_FALSE(ring.tryTake());
+    BoundedQueue<int> ring(2);
+    CHECK(ring.tryPush(1));
+    CHECK(ring.tryPush(2));
+    CHECK_FALSE(ring.tryPush(3));
+    CHECK(ring.tryPop() == 1);
+    CHECK(ring.tryPush(4));
+    CHECK(ring.tryPop() == 2);
+    CHECK(ring.tryPop() == 4);
+    CHECK_FALSE(ring.tryPop());
 }
 
 TEST_CASE("Values put by several threads are each taken once")
 {
     constexpr int PerThread = 2000;
-    BoundedRing<int> ring(64);
+    BoundedQueue<int> ring(64);
     const auto put = [&ring] {
         for (int i = 0; i < PerThread; ++i) {
-            while (!ring.tryPut(i))
+            while (!ring.tryPush(i))
                 std::this_thread::yield();
         }
     };
@@ -109,7 +109,7 @@
     std::thread second(put);
     long sum = 0;
     for (int taken = 0; taken < 2 * PerThread;) {
-        if (const std::optional<int> value = ring.take(std::chrono::seconds(10))) {
+        if (const std::optional<int> value = ring.pop(std::chrono::seconds(10))) {
             sum += *value;
             ++taken;
         }
--- a/packages/requests/apricothook/requests/apricothook_home_directory.hpp
+++ b/packages/requests/apricothook/requests/apricothook_home_directory.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
-#include <apricothook/model/apricothook_failure.hpp>
 #include <apricothook/model/apricothook_peer_message.hpp>
+#include <apricothook/model/apricothook_result.hpp>
 
 #include <vector>
 
--- a/packages/requests/apricothook/requests/apricothook_request_admission.hpp
+++ b/packages/requests/apricothook/requests/apricothook_request_admission.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
-#include <apricothook/model/apricothook_failure.hpp>
 #include <apricothook/model/apricothook_refusal.hpp>
+#include <apricothook/model/apricothook_result.hpp>
 #include <apricothook/requests/apricothook_configuration_index.hpp>
 #include <apricothook/requests/apricothook_request_life.hpp>
 
--- a/packages/requests/apricothook/requests/apricothook_request_life.hpp
+++ b/packages/requests/apricothook/requests/apricothook_request_life.hpp
@@ -70,7 +70,7 @@
     Duration firstByte {};
     std::optional<DispatchEnded> ended;
     Instant dispatched {};
-    MemberLife holder;
+    MemberInstance holder;
     /** Where the run went that a home told of; empty where it isn't known. */
     TargetId runTarget;
     bool isTakenOver = false; ///< The stream of a run that another daemon dispatched.
--- a/packages/requests/apricothook/requests/internal/apricothook_inquiry_step.cpp
+++ b/packages/requests/apricothook/requests/internal/apricothook_inquiry_step.cpp
@@ -14,7 +14,7 @@
 InquiryStep::Progress progressOf(KeyState state)
 {
     switch (state) {
-    case KeyState::Unheard:
+    case KeyState::NotSeen:
     case KeyState::NotRun:
         return InquiryStep::Progress::NotRun;
     case KeyState::Running:
@@ -81,7 +81,7 @@
 bool InquiryStep::fetch(RequestLife &exchange, Instant now)
 {
     const std::optional<MemberUpdate> holder = m_context.ports.members.find(exchange.holder.member);
-    if (!holder || holder->life != exchange.holder
+    if (!holder || holder->instance != exchange.holder
         || exchange.holder == m_context.ports.members.self())
         return false;
     m_context.ports.platform.fetchAnswer(holder->peerAddress, exchange.key,
--- a/packages/requests/tests/apricothook_flow_fixture.hpp
+++ b/packages/requests/tests/apricothook_flow_fixture.hpp
@@ -20,7 +20,7 @@
                    EventSink,
                    RequestObserver
 {
-    MemberLife life {MemberId("entry"), Incarnation(1)};
+    MemberInstance life {MemberId("entry"), Incarnation(1)};
     std::vector<MemberUpdate> members;
     std::vector<ShardId> shardList {{ServiceId("engines"), RegionId("r"), 0}};
     std::map<ShardId, MemberId> stewards;
@@ -37,12 +37,12 @@
     std::vector<RequestSummary> summaries;
     int minted = 0;
 
-    const MemberLife &self() const override { return life; }
+    const MemberInstance &self() const override { return life; }
     const std::vector<MemberUpdate> &live() const override { return members; }
     std::optional<MemberUpdate> find(const MemberId &member) const override
     {
         MemberUpdate update;
-        update.life = {member, Incarnation(1)};
+        update.instance = {member, Incarnation(1)};
         return update;
     }
     std::uint64_t version() const override { return 0; }
@@ -217,7 +217,7 @@
     std::vector<Message> sent()
     {
         std::vector<Message> messages;
-        for (const Outgoing &outgoing : out) {
+        for (const OutgoingMessage &outgoing : out) {
             if (const Message *message = std::get_if<Message>(&outgoing.message))
                 messages.push_back(*message);
         }
--- a/packages/requests/tests/apricothook_request_flow_tests.cpp
+++ b/packages/requests/tests/apricothook_request_flow_tests.cpp
@@ -61,7 +61,7 @@
     for (int i = 0; i < 4; ++i)
         f.advance(1s);
     const Outbox sent = f.out;
-    const auto isToOther = [](const Outgoing &o) { return o.to == MemberId("other"); };
+    const auto isToOther = [](const OutgoingMessage &o) { return o.to == MemberId("other"); };
     const auto asked = std::ranges::find_if(sent, isToOther);
     REQUIRE(asked != sent.end());
     CHECK(std::get<ReserveRequest>(asked->message).attempt == f.attempt(1, 2));
@@ -95,7 +95,7 @@
 {
     FlowFixture f;
     f.call(1, "k");
-    f.homeSays(1, "k", KeyState::Unheard);
+    f.homeSays(1, "k", KeyState::NotSeen);
     f.reserved(1);
     f.granted(1);
     f.ended(RunEnd::Refused, true);
@@ -266,7 +266,7 @@
     {
         FlowFixture f;
         const std::shared_ptr<AnswerStream> answer = f.call(1, "k");
-        f.homeSays(1, "k", KeyState::Unheard);
+        f.homeSays(1, "k", KeyState::NotSeen);
         f.refusedBySteward(1, ReserveVerdict::Shed);
         CHECK(answer->state() == AnswerStream::State::Waiting);
         SUBCASE("running")
@@ -276,7 +276,7 @@
         }
         SUBCASE("unheard of")
         {
-            f.homeSays(1, "k", KeyState::Unheard);
+            f.homeSays(1, "k", KeyState::NotSeen);
             CHECK(*answer->refusal() == Refusal {RefusalReason::Shed, Outcome::NotRun, {}});
         }
         SUBCASE("its home doesn't answer")
@@ -315,7 +315,7 @@
     {
         FlowFixture f;
         f.call(1, "k");
-        f.homeSays(1, "k", KeyState::Unheard);
+        f.homeSays(1, "k", KeyState::NotSeen);
         f.reserved(1);
         f.granted(1);
         const auto hints = f.sent<RunHint>();
--- a/packages/serving/apricothook/serving/apricothook_cell_exchange.cpp
+++ b/packages/serving/apricothook/serving/apricothook_cell_exchange.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-std::vector<TargetLoad> loadsOf(const CellReport &report)
+std::vector<TargetLoad> loadsOf(const CellLoadReport &report)
 {
     std::vector<TargetLoad> loads;
     for (const ReportedLoad &load : report.loads)
@@ -16,9 +16,9 @@
     return loads;
 }
 
-std::vector<WaitingCount> waitingOf(const CellReport &report)
+std::vector<QueueLength> waitingOf(const CellLoadReport &report)
 {
-    std::vector<WaitingCount> counts;
+    std::vector<QueueLength> counts;
     for (const ReportedWaiting &waiting : report.waiting)
         counts.push_back(
             {waiting.service, {waiting.customerTier, waiting.routeTier}, waiting.waiting});
@@ -45,7 +45,7 @@
 
 void CellExchange::tick()
 {
-    for (const MemberId &silent : m_mates.noteSilent(m_loop.now()))
+    for (const MemberId &silent : m_mates.markSilent(m_loop.now()))
         forget(silent);
     sendBeacon();
 }
@@ -61,7 +61,7 @@
 {
     std::vector<Endpoint> addresses;
     for (const KnownMember *member : m_directory.membersOfCell(m_directory.ownCell()))
-        addresses.push_back(member->brief.beaconAddress);
+        addresses.push_back(member->info.beaconAddress);
     return addresses;
 }
 
@@ -69,7 +69,8 @@
 {
     m_loop.cancel(m_change);
     m_changed = false;
-    m_sender.send(addresses(), Beacon {m_sender.ownBrief(), m_sender.ownRevision(), ownReport()});
+    m_sender.send(addresses(),
+                  Heartbeat {m_sender.ownBrief(), m_sender.ownRevision(), ownReport()});
 }
 
 void CellExchange::sendReport()
@@ -78,11 +79,11 @@
     m_sender.send(addresses(), ownReport());
 }
 
-CellReport CellExchange::ownReport()
+CellLoadReport CellExchange::ownReport()
 {
-    const MemberBrief self = m_sender.ownBrief();
-    CellReport report {
-        .member = memberNumber(self.member),
+    const MemberInfo self = m_sender.ownBrief();
+    CellLoadReport report {
+        .member = memberHash(self.member),
         .process = self.process,
         .sequence = ++m_sequence,
         .loads = {},
@@ -90,47 +91,47 @@
     };
     for (const TargetLoad &load : m_gateway.targets().ownLoad())
         report.loads.push_back({load.target, load.running});
-    for (const WaitingCount &count : m_gateway.dispatcher().ownWaiting())
+    for (const QueueLength &count : m_gateway.dispatcher().ownQueueLengths())
         report.waiting.push_back(
             {count.service, count.rank.customer, count.rank.route, count.waiting});
     return report;
 }
 
-void CellExchange::take(const Beacon &beacon)
+void CellExchange::take(const Heartbeat &beacon)
 {
-    const BeaconEffect effect = m_mates.take(beacon, m_loop.now());
-    if (effect.isBack || effect.isNewProcess) {
+    const HeartbeatChange effect = m_mates.apply(beacon, m_loop.now());
+    if (effect.hasReturned || effect.isNewProcess) {
         m_log.write(LogEvent(FleetviewEvent::MemberHeard)
                         .with("member", beacon.sender.member.text())
                         .with("process", beacon.sender.process.value()));
     }
-    apply(memberNumber(beacon.sender.member), effect);
+    apply(memberHash(beacon.sender.member), effect);
 }
 
-void CellExchange::take(const CellReport &report)
+void CellExchange::take(const CellLoadReport &report)
 {
-    apply(report.member, m_mates.take(report, m_loop.now()));
+    apply(report.member, m_mates.apply(report, m_loop.now()));
 }
 
-void CellExchange::apply(std::uint64_t member, const BeaconEffect &effect)
+void CellExchange::apply(std::uint64_t member, const HeartbeatChange &effect)
 {
-    const CellMate *mate = effect.isNews ? m_mates.find(member) : nullptr;
+    const CellPeer *mate = effect.isNewer ? m_mates.find(member) : nullptr;
     if (!mate)
         return;
-    m_gateway.targets().setLoadOfMember(member, loadsOf(mate->report));
-    m_gateway.dispatcher().setWaitingOfMember(member, waitingOf(mate->report));
+    m_gateway.targets().setMemberLoad(member, loadsOf(mate->report));
+    m_gateway.dispatcher().setMemberQueueLengths(member, waitingOf(mate->report));
     if (m_gateway.dispatcher().waiting() > 0)
-        m_gateway.reviewSoon();
+        m_gateway.scheduleReview();
 }
 
 void CellExchange::forget(const MemberId &member)
 {
-    const CellMate *mate = m_mates.find(member);
+    const CellPeer *mate = m_mates.find(member);
     m_log.write(LogEvent(FleetviewEvent::MemberSilent)
                     .with("member", member.text())
-                    .with("leaving", mate && mate->brief.isLeaving));
-    m_gateway.targets().setLoadOfMember(memberNumber(member), {});
-    m_gateway.dispatcher().setWaitingOfMember(memberNumber(member), {});
+                    .with("leaving", mate && mate->info.isLeaving));
+    m_gateway.targets().setMemberLoad(memberHash(member), {});
+    m_gateway.dispatcher().setMemberQueueLengths(memberHash(member), {});
 }
 
 } // namespace Apricothook
--- a/packages/serving/apricothook/serving/apricothook_cell_exchange.hpp
+++ b/packages/serving/apricothook/serving/apricothook_cell_exchange.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
-#include <apricothook/fleetview/apricothook_beacon_table.hpp>
 #include <apricothook/fleetview/apricothook_fleet_directory.hpp>
+#include <apricothook/fleetview/apricothook_heartbeat_table.hpp>
 #include <apricothook/gateway/apricothook_gateway.hpp>
 #include <apricothook/serving/apricothook_peer_sender.hpp>
 
@@ -30,14 +30,14 @@
     /** The next report goes soon. */
     void noteChange();
     void sendBeacon();
-    void take(const Beacon &beacon);
-    void take(const CellReport &report);
+    void take(const Heartbeat &beacon);
+    void take(const CellLoadReport &report);
 
 private:
     void sendReport();
-    CellReport ownReport();
+    CellLoadReport ownReport();
     std::vector<Endpoint> addresses() const;
-    void apply(std::uint64_t member, const BeaconEffect &effect);
+    void apply(std::uint64_t member, const HeartbeatChange &effect);
     void forget(const MemberId &member);
 
     EventLoop &m_loop;
@@ -45,7 +45,7 @@
     PeerSender &m_sender;
     Gateway &m_gateway;
     LogWriter &m_log;
-    BeaconTable m_mates;
+    HeartbeatTable m_mates;
     std::uint64_t m_sequence = 0;
     bool m_changed = false;
     TimerId m_change = 0;
--- a/packages/serving/apricothook/serving/apricothook_fleet_exchange.cpp
+++ b/packages/serving/apricothook/serving/apricothook_fleet_exchange.cpp
@@ -45,17 +45,17 @@
         return {m_seeds[chosen]};
     const auto member
         = std::next(members.begin(), static_cast<std::ptrdiff_t>(chosen - m_seeds.size()));
-    return {member->second.brief.beaconAddress};
+    return {member->second.info.beaconAddress};
 }
 
 void FleetExchange::sendGreetings(const std::vector<Endpoint> &to, bool wantsAnswer, bool all)
 {
     const std::size_t names = all ? m_directory.members().size() : MostOthers;
-    const std::vector<MemberBrief> told = m_directory.sample(names, m_random, m_loop.now());
+    const std::vector<MemberInfo> told = m_directory.sample(names, m_random, m_loop.now());
     std::size_t next = 0;
     do {
         const std::size_t end = std::min(next + MostOthers, told.size());
-        Greeting greeting {m_sender.ownBrief(), wantsAnswer && next == 0, all, {}};
+        MemberGossip greeting {m_sender.ownBrief(), wantsAnswer && next == 0, all, {}};
         greeting.others.assign(told.begin() + static_cast<std::ptrdiff_t>(next),
                                told.begin() + static_cast<std::ptrdiff_t>(end));
         m_sender.send(to, greeting);
@@ -63,22 +63,22 @@
     } while (next < told.size());
 }
 
-void FleetExchange::take(const Greeting &greeting)
+void FleetExchange::take(const MemberGossip &greeting)
 {
     const Instant now = m_loop.now();
-    m_directory.take(greeting.sender, now);
-    for (const MemberBrief &other : greeting.others)
-        m_directory.take(other, now);
-    if (greeting.wantsAnswer)
-        sendGreetings({greeting.sender.beaconAddress}, false, greeting.wantsAll);
+    m_directory.update(greeting.sender, now);
+    for (const MemberInfo &other : greeting.others)
+        m_directory.update(other, now);
+    if (greeting.wantsReply)
+        sendGreetings({greeting.sender.beaconAddress}, false, greeting.wantsFullList);
 }
 
 void FleetExchange::announce()
 {
     std::vector<Endpoint> all;
     for (const auto &[id, member] : m_directory.members())
-        all.push_back(member.brief.beaconAddress);
-    m_sender.send(all, Greeting {m_sender.ownBrief(), false, false, {}});
+        all.push_back(member.info.beaconAddress);
+    m_sender.send(all, MemberGossip {m_sender.ownBrief(), false, false, {}});
 }
 
 void FleetExchange::sendSummaries()
@@ -92,7 +92,7 @@
     for (std::uint32_t cell = 0; cell < m_directory.cells(); ++cell) {
         const KnownMember *next = cell == m_directory.ownCell() ? nullptr : nextOf(cell);
         if (next)
-            receivers.push_back(next->brief.beaconAddress);
+            receivers.push_back(next->info.beaconAddress);
     }
     m_sender.send(receivers, ownSummary());
 }
@@ -117,7 +117,7 @@
     };
     for (const KnownMember *member : m_directory.membersOfCell(summary.cell)) {
         if (m_directory.isLive(*member, now))
-            summary.members.push_back(FleetDirectory::told(*member, now));
+            summary.members.push_back(FleetDirectory::advertisedInfo(*member, now));
     }
     return summary;
 }
@@ -125,9 +125,9 @@
 void FleetExchange::take(const CellSummary &summary)
 {
     const Instant now = m_loop.now();
-    for (const MemberBrief &member : summary.members)
-        m_directory.take(member, now);
-    m_directory.noteCells(summary.cells, now);
+    for (const MemberInfo &member : summary.members)
+        m_directory.update(member, now);
+    m_directory.adoptCellCount(summary.cells, now);
 }
 
 } // namespace Apricothook
--- a/packages/serving/apricothook/serving/apricothook_fleet_exchange.hpp
+++ b/packages/serving/apricothook/serving/apricothook_fleet_exchange.hpp
@@ -41,7 +41,7 @@
     void announce();
     /** To one member of each other cell, and no more often than its pause allows. */
     void sendSummaries();
-    void take(const Greeting &greeting);
+    void take(const MemberGossip &greeting);
     void take(const CellSummary &summary);
 
 private:
--- a/packages/serving/apricothook/serving/apricothook_item_decoder.hpp
+++ b/packages/serving/apricothook/serving/apricothook_item_decoder.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <apricothook/dispatch/apricothook_serving_configuration.hpp>
-#include <apricothook/model/apricothook_failure.hpp>
+#include <apricothook/model/apricothook_result.hpp>
 
 #include <string>
 #include <string_view>
--- a/packages/serving/apricothook/serving/apricothook_limit_exchange.hpp
+++ b/packages/serving/apricothook/serving/apricothook_limit_exchange.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <apricothook/dispatch/apricothook_reach_meter.hpp>
+#include <apricothook/dispatch/apricothook_reachability_estimator.hpp>
 #include <apricothook/eventloop/apricothook_event_loop.hpp>
 #include <apricothook/fleetview/apricothook_fleet_size.hpp>
 #include <apricothook/gateway/apricothook_gateway.hpp>
@@ -29,12 +29,12 @@
     /** To be called some times a second. */
     void tick();
     void take(const ReachProbe &probe);
-    void take(const ReachAnswer &answer);
+    void take(const ReachReply &answer);
     template <typename Message>
     void take(const Message &message)
     {
         m_gateway.limits().take(message, m_loop.now());
-        m_gateway.scheduleLimits();
+        m_gateway.scheduleLimitReview();
     }
 
 private:
@@ -54,7 +54,7 @@
     RandomSource &m_random;
     const std::vector<Endpoint> m_seeds;
     const Instant m_started;
-    ReachMeter m_reach;
+    ReachabilityEstimator m_reach;
 };
 
 } // namespace Apricothook
