--- a/packages/serving/apricothook/serving/apricothook_peer_exchange.cpp
+++ b/packages/serving/apricothook/serving/apricothook_peer_exchange.cpp
@@ -19,7 +19,7 @@
     , m_log(log)
     , m_directory(settings.member)
     , m_size(m_directory, settings.seeds, settings.beaconAddress)
-    , m_cold(m_directory, settings.seeds, settings.beaconAddress, settings.bounds.entryPause)
+    , m_cold(m_directory, settings.seeds, settings.beaconAddress, settings.bounds.entryInterval)
     , m_cell(loop, m_directory, *this, gateway, log)
     , m_fleet(loop, m_directory, *this, random, settings.seeds)
     , m_limits(loop, m_directory, m_size, *this, gateway, random, settings.seeds)
@@ -59,7 +59,7 @@
     m_cell.tick();
     m_limits.tick();
     m_fleet.sendSummaries();
-    if (m_loop.now() - m_noted >= ReadingDuty::NotePause)
+    if (m_loop.now() - m_noted >= ReaderSelection::AnnouncementInterval)
         sendReaderNote();
     const bool isStarting = m_loop.now() - m_started < StartingTime;
     m_tick = m_loop.after(isStarting ? StartingPause : IdlePause, [this] { tick(); });
@@ -69,8 +69,8 @@
 {
     TargetTable &targets = m_gateway.targets();
     targets.review(m_loop.now());
-    ColdFleet fleet
-        = m_cold.review({m_published.reachesSource(), sourceContact().someReach}, m_loop.now());
+    ColdTargetSenders fleet
+        = m_cold.review({m_published.reachesSource(), sourceContact().anyReachable}, m_loop.now());
     // Others hear that it leaves, and send in its place.
     if (m_leaving)
         fleet.view = std::min(fleet.view, ColdView::Outside);
@@ -79,7 +79,7 @@
                         .with("view", std::string(nameOf(fleet.view)))
                         .with("members", fleet.members.size()));
     }
-    targets.setColdFleet(std::move(fleet));
+    targets.setColdTargetSenders(std::move(fleet));
 }
 
 void PeerExchange::countMembers()
@@ -100,12 +100,13 @@
     if (m_revisions.isStuck())
         m_stuckUntil = now + StuckTime;
     // A process without a configuration can't wait for a peer that may have none either.
-    const MemberBrief self = ownBrief();
+    const MemberInfo self = ownBrief();
     m_isCellReader = m_directory.isReader(self, now);
     // Where targets are bounded while they are cold, a daemon that has just started soon knows
     // which are, and may use the others.
-    const bool looksForCold = m_gateway.targets().boundsCold() && m_cold.hasOldEntries(true, now);
-    const bool reads = !m_published.hasConfiguration() || m_duty.isToRead(m_directory, self, now)
+    const bool looksForCold
+        = m_gateway.targets().limitsColdTargets() && m_cold.mayHaveStaleEntries(true, now);
+    const bool reads = !m_published.hasConfiguration() || m_duty.shouldRead(m_directory, self, now)
         || now < m_stuckUntil || looksForCold;
     if (reads == std::exchange(m_reads, reads))
         return;
@@ -114,13 +115,13 @@
     m_tellReading(reads);
 }
 
-SourceContact PeerExchange::sourceContact() const
+SourceReachability PeerExchange::sourceContact() const
 {
     const Instant now = m_loop.now();
-    SourceContact contact = m_directory.sourceContact(ownBrief(), now);
-    const SourceContact ofFleet = m_duty.contact(now);
-    contact.someReach |= ofFleet.someReach;
-    contact.someLost |= ofFleet.someLost;
+    SourceReachability contact = m_directory.sourceReachability(ownBrief(), now);
+    const SourceReachability ofFleet = m_duty.sourceReachability(now);
+    contact.anyReachable |= ofFleet.anyReachable;
+    contact.anyFailed |= ofFleet.anyFailed;
     return contact;
 }
 
@@ -142,13 +143,13 @@
 void PeerExchange::sendReaderNote()
 {
     const Instant now = m_loop.now();
-    const MemberBrief self = ownBrief();
+    const MemberInfo self = ownBrief();
     // One that has just lost the source is no reader any more, and says so.
     const bool isReader = m_directory.isFleetReader(self, now) || self.hasLostSource;
     if (!m_reads || m_directory.cells() == 1 || !isReader)
         return;
     m_noted = now;
-    send(m_directory.readersOfOtherCells(now), ReaderNote {self, ownRevision()});
+    send(m_directory.readersOfOtherCells(now), ReaderAnnouncement {self, ownRevision()});
 }
 
 void PeerExchange::noteRevision()
@@ -183,10 +184,10 @@
     m_metrics.controlBytes(Direction::Sent, bytes.size() * to.size());
 }
 
-MemberBrief PeerExchange::ownBrief() const
+MemberInfo PeerExchange::ownBrief() const
 {
     // The members of its cell know no other way whether the source answers anybody.
-    const bool followsReader = !m_reads && m_duty.reaching(m_loop.now()) > 0;
+    const bool followsReader = !m_reads && m_duty.reachableReaders(m_loop.now()) > 0;
     return {
         .member = m_settings.member,
         .process = m_process,
@@ -208,7 +209,7 @@
     // What one that doesn't read heard at its start is no news, and its peers would ask it for
     // everything.
     const ItemReplica &replica = m_published.replica();
-    return m_reads || m_isCellReader ? replica.toldRevision() : replica.newsRevision();
+    return m_reads || m_isCellReader ? replica.advertisedRevision() : replica.relevantRevision();
 }
 
 void PeerExchange::receive(std::string_view bytes)
@@ -220,9 +221,9 @@
         std::visit([this](const auto &message) { take(message); }, datagram.value());
 }
 
-void PeerExchange::take(const Beacon &beacon)
+void PeerExchange::take(const Heartbeat &beacon)
 {
-    m_directory.take(beacon.sender, m_loop.now());
+    m_directory.update(beacon.sender, m_loop.now());
     m_cell.take(beacon);
     // Before its items come: whether their removals are true depends on it.
     noteSource();
@@ -231,10 +232,10 @@
     m_revisions.note(beacon.sender, beacon.revision);
 }
 
-void PeerExchange::take(const ReaderNote &note)
+void PeerExchange::take(const ReaderAnnouncement &note)
 {
-    m_duty.note(note, m_loop.now());
-    m_directory.take(note.sender, m_loop.now());
+    m_duty.recordAnnouncement(note, m_loop.now());
+    m_directory.update(note.sender, m_loop.now());
     noteSource();
     if (note.sender.hasLostSource)
         reviewReading();
--- a/packages/serving/apricothook/serving/apricothook_peer_exchange.hpp
+++ b/packages/serving/apricothook/serving/apricothook_peer_exchange.hpp
@@ -1,9 +1,9 @@
 #pragma once
 
 #include <apricothook/eventloop/apricothook_datagram_socket.hpp>
-#include <apricothook/fleetview/apricothook_cold_outlook.hpp>
+#include <apricothook/fleetview/apricothook_cold_view_tracker.hpp>
 #include <apricothook/fleetview/apricothook_fleet_size.hpp>
-#include <apricothook/fleetview/apricothook_reading_duty.hpp>
+#include <apricothook/fleetview/apricothook_reader_selection.hpp>
 #include <apricothook/serving/apricothook_cell_exchange.hpp>
 #include <apricothook/serving/apricothook_fleet_exchange.hpp>
 #include <apricothook/serving/apricothook_limit_exchange.hpp>
@@ -55,24 +55,24 @@
 private:
     void send(const Endpoint &to, const PeerDatagram &datagram) override;
     void send(const std::vector<Endpoint> &to, const PeerDatagram &datagram) override;
-    MemberBrief ownBrief() const override;
+    MemberInfo ownBrief() const override;
     std::uint64_t ownRevision() const override;
 
     void tick();
     void reviewColdTargets();
     void countMembers();
     /** What this daemon, its cell and the readers of the fleet tell of the source. */
-    SourceContact sourceContact() const;
+    SourceReachability sourceContact() const;
     void noteSource();
     void reviewReading();
     /** To the readers of the other cells, if this daemon reads for them. */
     void sendReaderNote();
     void receive(std::string_view bytes);
-    void take(const Beacon &beacon);
-    void take(const CellReport &report) { m_cell.take(report); }
+    void take(const Heartbeat &beacon);
+    void take(const CellLoadReport &report) { m_cell.take(report); }
     void take(const CellSummary &summary);
-    void take(const Greeting &greeting) { m_fleet.take(greeting); }
-    void take(const ReaderNote &note);
+    void take(const MemberGossip &greeting) { m_fleet.take(greeting); }
+    void take(const ReaderAnnouncement &note);
     void take(const SuspectNotice &notice) { m_suspects.take(notice); }
     /** All that customers' limits need. */
     template <typename Message>
@@ -101,9 +101,9 @@
     Revision m_lastTold = 0;
     FleetDirectory m_directory;
     FleetSize m_size;
-    ColdOutlook m_cold;
+    ColdViewTracker m_cold;
     ColdView m_coldView = ColdView::Alone;
-    ReadingDuty m_duty;
+    ReaderSelection m_duty;
     CellExchange m_cell;
     FleetExchange m_fleet;
     LimitExchange m_limits;
--- a/packages/serving/apricothook/serving/apricothook_peer_sender.hpp
+++ b/packages/serving/apricothook/serving/apricothook_peer_sender.hpp
@@ -14,7 +14,7 @@
     virtual void send(const Endpoint &to, const PeerDatagram &datagram) = 0;
     /** For a datagram that goes to several. */
     virtual void send(const std::vector<Endpoint> &to, const PeerDatagram &datagram) = 0;
-    virtual MemberBrief ownBrief() const = 0;
+    virtual MemberInfo ownBrief() const = 0;
     /** The highest revision of a published item that this daemon has. */
     virtual std::uint64_t ownRevision() const = 0;
 };
--- a/packages/serving/apricothook/serving/apricothook_published_state.cpp
+++ b/packages/serving/apricothook/serving/apricothook_published_state.cpp
@@ -85,7 +85,7 @@
         return true;
     }
     const TargetEntry &target = read.value();
-    BelievedTarget *known = m_gateway.targets().find(target.id);
+    TrackedTarget *known = m_gateway.targets().find(target.id);
     // Targets that tell their start always do; taken for a new one, this entry would end all that
     // runs there.
     if (known && known->entry.startedAt != 0 && target.startedAt == 0) {
@@ -99,7 +99,7 @@
         m_log.write(LogEvent(FleetviewEvent::OldEntryIgnored)
                         .with("target", target.id.text())
                         .with("sequence", target.sequence)
-                        .with("leaving_sequence", m_leaving.at(target.start()).sequence)
+                        .with("leaving_sequence", m_leaving.at(target.instance()).sequence)
                         .with("revision", change.revision));
         return true;
     }
@@ -115,7 +115,7 @@
                     .with("address", target.address.text())
                     .with("state", std::string(target.isDraining ? "draining" : "ready"))
                     .with("started_at", target.startedAt)
-                    .with("cold_ms", target.coldFor)
+                    .with("cold_ms", target.remainingColdTime)
                     .with("sequence", target.sequence)
                     .with("revision", change.revision));
     m_gateway.putTarget(target);
@@ -124,10 +124,10 @@
 
 bool PublishedState::isBeat(const TargetEntry &before, TargetEntry now)
 {
-    if (now.coldFor > before.coldFor)
+    if (now.remainingColdTime > before.remainingColdTime)
         return false;
     now.sequence = before.sequence;
-    now.coldFor = before.coldFor;
+    now.remainingColdTime = before.remainingColdTime;
     return now == before;
 }
 
@@ -139,14 +139,14 @@
     m_log.write(LogEvent(FleetviewEvent::EvacuationChanged)
                     .with("data_centre", dataCentre.text())
                     .with("state", std::string(isEvacuated ? "evacuated" : "taken back"))
-                    .with("targets", m_gateway.targets().countOf(dataCentre))
+                    .with("targets", m_gateway.targets().countIn(dataCentre))
                     .with("revision", change.revision));
     m_gateway.setEvacuated(dataCentre, isEvacuated);
 }
 
 bool PublishedState::isOlderThanLeaving(const TargetEntry &target) const
 {
-    const auto leaving = m_leaving.find(target.start());
+    const auto leaving = m_leaving.find(target.instance());
     return leaving != m_leaving.end() && target.sequence < leaving->second.sequence;
 }
 
@@ -156,17 +156,17 @@
     std::erase_if(m_leaving,
                   [now](const auto &entry) { return now - entry.second.heard > LeavingMemory; });
     if (target.isDraining)
-        m_leaving[target.start()] = {target.sequence, now};
+        m_leaving[target.instance()] = {target.sequence, now};
     else
-        m_leaving.erase(target.start());
+        m_leaving.erase(target.instance());
 }
 
 void PublishedState::removeTarget(const TargetId &target, Revision revision)
 {
     const Instant now = m_loop.now();
-    const BelievedTarget *known = m_gateway.targets().find(target);
+    const TrackedTarget *known = m_gateway.targets().find(target);
     // A target that had announced its leaving has left.
-    const bool hold = known && !known->entry.isDraining && m_outage.mayHaveLapsed(now);
+    const bool hold = known && !known->entry.isDraining && m_outage.mayHaveExpired(now);
     m_log.write(LogEvent(hold ? FleetviewEvent::RemovalHeld : FleetviewEvent::TargetChanged)
                     .with("target", target.text())
                     .with("state", std::string("removed"))
@@ -175,7 +175,7 @@
         m_gateway.removeTarget(target);
         return;
     }
-    m_held[target] = m_loop.after(m_outage.doubtUntil(now) - now, [this, target] {
+    m_held[target] = m_loop.after(m_outage.removalsUncertainUntil(now) - now, [this, target] {
         m_held.erase(target);
         m_gateway.removeTarget(target);
     });
--- a/packages/serving/apricothook/serving/apricothook_published_state.hpp
+++ b/packages/serving/apricothook/serving/apricothook_published_state.hpp
@@ -41,7 +41,7 @@
     /** This daemon doesn't read at the source any more; the last state says nothing now. */
     void forgetSourceState() { m_sourceState.reset(); }
     /** What the daemons of the cell, this one with them, tell of the source. */
-    void noteSource(const SourceContact &contact) { m_outage.note(contact, m_loop.now()); }
+    void noteSource(const SourceReachability &contact) { m_outage.note(contact, m_loop.now()); }
     bool reachesSource() const { return m_sourceState == SourceState::Reachable; }
     bool hasLostSource() const { return m_sourceState && !reachesSource(); }
     const ItemReplica &replica() const { return m_replica; }
@@ -79,7 +79,7 @@
         Instant heard {};
     };
     /** Starts of targets that told of their leaving, also after they are gone. */
-    std::map<TargetStart, Leaving> m_leaving;
+    std::map<TargetInstance, Leaving> m_leaving;
 };
 
 } // namespace Apricothook
--- a/packages/serving/apricothook/serving/apricothook_revision_follower.cpp
+++ b/packages/serving/apricothook/serving/apricothook_revision_follower.cpp
@@ -8,7 +8,7 @@
     : m_loop(loop)
     , m_published(published)
     , m_log(log)
-    , m_fetcher([this, alive = std::weak_ptr(m_alive)](const MemberBrief &peer,
+    , m_fetcher([this, alive = std::weak_ptr(m_alive)](const MemberInfo &peer,
                                                        std::optional<ItemUpdate> update) {
         m_loop.post([this, alive, peer, update = std::move(update)] {
             if (!alive.expired())
@@ -18,7 +18,7 @@
 {
 }
 
-void RevisionFollower::take(const MemberBrief &peer, const std::optional<ItemUpdate> &update)
+void RevisionFollower::take(const MemberInfo &peer, const std::optional<ItemUpdate> &update)
 {
     const Revision before = m_published.replica().revision();
     if (update)
@@ -35,7 +35,7 @@
         && m_loop.now() - *m_behindSince > PeerTime;
 }
 
-void RevisionFollower::note(const MemberBrief &peer, Revision revision)
+void RevisionFollower::note(const MemberInfo &peer, Revision revision)
 {
     const Revision own = m_published.replica().revision();
     if (own >= m_laterRevision)
--- a/packages/serving/apricothook/serving/apricothook_revision_follower.hpp
+++ b/packages/serving/apricothook/serving/apricothook_revision_follower.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <apricothook/eventloop/apricothook_event_loop.hpp>
-#include <apricothook/fleetview/apricothook_member_brief.hpp>
+#include <apricothook/fleetview/apricothook_member_info.hpp>
 #include <apricothook/fleetview/apricothook_peer_item_fetcher.hpp>
 #include <apricothook/observe/apricothook_structured_log.hpp>
 #include <apricothook/serving/apricothook_published_state.hpp>
@@ -33,10 +33,10 @@
     /** Peers have had a later revision for PeerTime and didn't give it. */
     bool isStuck() const;
     /** A peer has told its revision. */
-    void note(const MemberBrief &peer, Revision revision);
+    void note(const MemberInfo &peer, Revision revision);
 
 private:
-    void take(const MemberBrief &peer, const std::optional<ItemUpdate> &update);
+    void take(const MemberInfo &peer, const std::optional<ItemUpdate> &update);
 
     EventLoop &m_loop;
     PublishedState &m_published;
--- a/packages/serving/apricothook/serving/apricothook_serving_process.cpp
+++ b/packages/serving/apricothook/serving/apricothook_serving_process.cpp
@@ -33,7 +33,7 @@
     , m_log(log)
     , m_loop(clock)
     , m_gateway(m_loop, adapters.wire, random, log, m_metrics, settings.bounds, settings.dataCentre,
-                settings.policies, {memberNumber(settings.member), settings.beaconAddress})
+                settings.policies, {memberHash(settings.member), settings.beaconAddress})
     , m_published(m_loop, m_gateway, adapters.decoder, log)
     , m_peers(m_loop, m_settings, m_incarnation, m_gateway, m_published, random, m_metrics, log)
 {
@@ -93,9 +93,9 @@
             m_peers.noteOwnSource();
         });
     };
-    m_watcher = std::make_unique<ItemWatcher>(m_settings.itemSource, m_adapters.items,
-                                              ItemWatcher::watchTime(m_settings.bounds.inForce),
-                                              updated, changed);
+    m_watcher = std::make_unique<ItemWatcher>(
+        m_settings.itemSource, m_adapters.items,
+        ItemWatcher::watchTime(m_settings.bounds.applyTimeout), updated, changed);
 }
 
 void ServingProcess::setReading(bool reads)
@@ -111,15 +111,17 @@
 
 void ServingProcess::rankCustomers()
 {
-    m_metrics.rankCustomers(m_loop.now());
-    m_metrics.set(Level::LiveMembers,
+    m_metrics.updateTopCustomers(m_loop.now());
+    m_metrics.set(MetricGauge::LiveMembers,
                   static_cast<double>(m_peers.directory().liveCount(m_loop.now())));
-    m_metrics.set(Level::CallerConnections, static_cast<double>(m_gateway.callerConnections()));
-    m_metrics.set(Level::CallerExchanges, static_cast<double>(m_gateway.openRequests()));
-    m_metrics.set(Level::WaitingRequests, static_cast<double>(m_gateway.dispatcher().waiting()));
+    m_metrics.set(MetricGauge::CallerConnections,
+                  static_cast<double>(m_gateway.callerConnections()));
+    m_metrics.set(MetricGauge::CallerExchanges, static_cast<double>(m_gateway.openRequests()));
+    m_metrics.set(MetricGauge::WaitingRequests,
+                  static_cast<double>(m_gateway.dispatcher().waiting()));
     const TargetTable &targets = m_gateway.targets();
-    m_metrics.set(Level::EvacuatedTargets, static_cast<double>(targets.evacuatedCount()));
-    m_metrics.set(Level::ColdTargets, static_cast<double>(targets.coldCount()));
+    m_metrics.set(MetricGauge::EvacuatedTargets, static_cast<double>(targets.evacuatedCount()));
+    m_metrics.set(MetricGauge::ColdTargets, static_cast<double>(targets.coldCount()));
     m_loop.after(RankPause, [this] { rankCustomers(); });
 }
 
@@ -130,8 +132,8 @@
         entries.push_back({m_settings.callerAddress, m_settings.dataCentre});
     const FleetDirectory &directory = m_peers.directory();
     for (const auto &[id, member] : directory.members()) {
-        const MemberBrief &brief = member.brief;
-        if (directory.mayBeNamed(member, m_loop.now()) && brief.isReady && !brief.isLeaving)
+        const MemberInfo &brief = member.info;
+        if (directory.isRoutable(member, m_loop.now()) && brief.isReady && !brief.isLeaving)
             entries.push_back({brief.callerAddress, brief.dataCentre});
     }
     return entries;
@@ -162,7 +164,7 @@
         return {.status = HttpStatus::Ok,
                 .contentType = "text/plain; version=0.0.4",
                 .body = m_metrics.text()};
-    if (const std::optional<Revision> after = askedRevision(request.target)) {
+    if (const std::optional<Revision> after = requestedRevision(request.target)) {
         return {.status = HttpStatus::Ok,
                 .contentType = "application/json",
                 .body = writeItemUpdate(m_published.replica().since(*after))};
@@ -179,7 +181,7 @@
                     .with("open_requests", m_gateway.openRequests())
                     .with("connections", m_gateway.callerConnections()));
     m_peers.startLeaving();
-    m_gateway.startLeaving();
+    m_gateway.startDraining();
     // A call that is under way at the end would hold the process beyond its grace, and it would be
     // killed with its last answers unsent.
     m_loop.after(m_settings.bounds.grace - EndMargin - ItemWatcher::StopTime,
@@ -193,7 +195,7 @@
 
 void ServingProcess::stopTaking()
 {
-    m_gateway.refuseNew();
+    m_gateway.refuseNewRequests();
     m_gateway.stopListening();
 }
 
--- a/packages/serving/apricothook/serving/apricothook_serving_process.hpp
+++ b/packages/serving/apricothook/serving/apricothook_serving_process.hpp
@@ -16,7 +16,7 @@
 /** The adapters to what callers, targets and the configuration service speak. */
 struct ServingAdapters
 {
-    const WireDialect &wire;
+    const WireProtocol &wire;
     const ItemProtocol &items;
     const ItemDecoder &decoder;
     const LookupDialect &lookups;
--- a/packages/serving/apricothook/serving/apricothook_small_http_server.cpp
+++ b/packages/serving/apricothook/serving/apricothook_small_http_server.cpp
@@ -49,7 +49,7 @@
         }
     }
 
-    void onEnd(SocketEnd) override { m_server.closed(*this); }
+    void onEnd(CloseReason) override { m_server.closed(*this); }
 
     void answer()
     {
@@ -59,12 +59,12 @@
         ResponseHead head;
         head.status = answer.status;
         head.headers.add("Content-Type", answer.contentType);
-        if (!request.keepsConnection)
+        if (!request.isKeepAlive)
             head.headers.add("Connection", "close");
         m_socket.send(writeResponseHead(head, {BodyFraming::Kind::Sized, answer.body.size()})
                       + answer.body);
-        if (!request.keepsConnection)
-            m_socket.finishSending();
+        if (!request.isKeepAlive)
+            m_socket.shutdownSend();
         startIdleTimer();
     }
 
--- a/packages/serving/apricothook/serving/apricothook_suspect_exchange.cpp
+++ b/packages/serving/apricothook/serving/apricothook_suspect_exchange.cpp
@@ -4,7 +4,7 @@
 
 namespace Apricothook {
 
-LiveMembers::LiveMembers(const FleetDirectory &directory, const MemberBrief &self)
+LiveMembers::LiveMembers(const FleetDirectory &directory, const MemberInfo &self)
     : m_directory(directory), m_self {self.member, self.process}
 {
 }
@@ -13,24 +13,25 @@
 {
     m_live.clear();
     MemberUpdate own;
-    own.life = m_self;
+    own.instance = m_self;
     m_live.push_back(own);
     for (const auto &[id, member] : m_directory.members()) {
         if (!m_directory.isLive(member, now))
             continue;
         MemberUpdate update;
-        update.life = {id, member.brief.process};
-        update.peerAddress = member.brief.beaconAddress;
+        update.instance = {id, member.info.process};
+        update.peerAddress = member.info.beaconAddress;
         m_live.push_back(update);
     }
-    std::ranges::sort(m_live, {}, [](const MemberUpdate &update) { return update.life.member; });
+    std::ranges::sort(m_live, {},
+                      [](const MemberUpdate &update) { return update.instance.member; });
     ++m_version;
 }
 
 std::optional<MemberUpdate> LiveMembers::find(const MemberId &member) const
 {
     const auto found = std::ranges::find(
-        m_live, member, [](const MemberUpdate &update) { return update.life.member; });
+        m_live, member, [](const MemberUpdate &update) { return update.instance.member; });
     return found == m_live.end() ? std::nullopt : std::optional(*found);
 }
 
@@ -53,34 +54,34 @@
     return m_list.quarantineLeft(request, now);
 }
 
-void SuspectExchange::noteAnswered(Fingerprint request)
+void SuspectExchange::recordAnswer(Fingerprint request)
 {
     const Instant now = m_loop.now();
-    m_answered.note(request, now);
+    m_answered.add(request, now);
     if (!m_list.isSuspect(request))
         return;
-    m_list.noteAnswered(request, now);
+    m_list.recordAnswer(request, now);
     spreadCleared(request);
 }
 
-void SuspectExchange::noteCrash(const TargetId &target, const std::vector<Fingerprint> &requests)
+void SuspectExchange::recordCrash(const TargetId &target, const std::vector<Fingerprint> &requests)
 {
     TargetCrash crash {target, {}};
     std::ranges::copy_if(requests, std::back_inserter(crash.running),
-                         [this](Fingerprint request) { return !m_answered.has(request); });
+                         [this](Fingerprint request) { return !m_answered.contains(request); });
     m_members.review(m_loop.now());
     Outbox out;
-    m_list.noteCrash(crash, m_loop.now(), out);
+    m_list.recordCrash(crash, m_loop.now(), out);
     send(out);
 }
 
 void SuspectExchange::take(const SuspectNotice &notice)
 {
     if (notice.crashed.empty()) {
-        noteAnswered(notice.fingerprint);
+        recordAnswer(notice.fingerprint);
         return;
     }
-    if (m_answered.has(notice.fingerprint)) {
+    if (m_answered.contains(notice.fingerprint)) {
         spreadCleared(notice.fingerprint);
         return;
     }
@@ -92,7 +93,7 @@
 
 void SuspectExchange::send(const Outbox &out)
 {
-    for (const Outgoing &outgoing : out) {
+    for (const OutgoingMessage &outgoing : out) {
         const std::optional<MemberUpdate> member = m_members.find(outgoing.to);
         const auto *notice = std::get_if<SuspectNotice>(&outgoing.message);
         if (member && notice)
@@ -105,7 +106,7 @@
     m_members.review(m_loop.now());
     std::vector<Endpoint> others;
     for (const MemberUpdate &member : m_members.live()) {
-        if (member.life.member != m_members.self().member)
+        if (member.instance.member != m_members.self().member)
             others.push_back(member.peerAddress);
     }
     for (std::size_t sent = 0; sent < SuspectLimits().fanOut && !others.empty(); ++sent) {
--- a/packages/serving/apricothook/serving/apricothook_suspect_exchange.hpp
+++ b/packages/serving/apricothook/serving/apricothook_suspect_exchange.hpp
@@ -14,12 +14,12 @@
 class LiveMembers : public MemberView
 {
 public:
-    LiveMembers(const FleetDirectory &directory, const MemberBrief &self);
+    LiveMembers(const FleetDirectory &directory, const MemberInfo &self);
 
     /** Takes over what the directory knows now. */
     void review(Instant now);
 
-    const MemberLife &self() const override { return m_self; }
+    const MemberInstance &self() const override { return m_self; }
     const std::vector<MemberUpdate> &live() const override { return m_live; }
     std::optional<MemberUpdate> find(const MemberId &member) const override;
     std::uint64_t version() const override { return m_version; }
@@ -27,7 +27,7 @@
 
 private:
     const FleetDirectory &m_directory;
-    const MemberLife m_self;
+    const MemberInstance m_self;
     std::vector<MemberUpdate> m_live;
     std::uint64_t m_version = 0;
 };
@@ -46,8 +46,8 @@
                     RandomSource &random, LogWriter &log);
 
     std::optional<Duration> quarantine(Fingerprint request) override;
-    void noteAnswered(Fingerprint request) override;
-    void noteCrash(const TargetId &target, const std::vector<Fingerprint> &requests) override;
+    void recordAnswer(Fingerprint request) override;
+    void recordCrash(const TargetId &target, const std::vector<Fingerprint> &requests) override;
     void take(const SuspectNotice &notice);
 
 private:
--- a/packages/serving/tests/apricothook_cold_fleet_tests.cpp
+++ b/packages/serving/tests/apricothook_cold_fleet_tests.cpp
@@ -26,7 +26,7 @@
 
 void play(EmulatedColdFleet &fleet, Harm harm)
 {
-    RepeatableRandom &random = fleet.random;
+    DeterministicRandom &random = fleet.random;
     const std::size_t one = random.next() % fleet.daemons();
     const Time time(500 + random.next() % 9000);
     const std::size_t dataCentre = random.next() % EmulatedColdFleet::DataCentres;
@@ -80,7 +80,7 @@
     // hear nothing at all; the harms overlap. COLD_SEEDS plays more.
     double worst = 0;
     for (std::uint64_t seed = 1; seed <= seedsToPlay(); ++seed) {
-        RepeatableRandom draw(seed);
+        DeterministicRandom draw(seed);
         const std::size_t daemons = 1 + draw.next() % 40;
         EmulatedColdFleet fleet(daemons, 12 + draw.next() % 40, seed);
         fleet.run(Time(3000));
--- a/packages/serving/tests/apricothook_emulated_cold_fleet.cpp
+++ b/packages/serving/tests/apricothook_emulated_cold_fleet.cpp
@@ -41,7 +41,7 @@
                                  std::uint64_t startedAt)
     : EmulatedDaemon(fleet, number, startedAt)
     , targets(DataCentreId("dc-0"), {},
-              ColdGuard(memberNumber(EmulatedFleet::memberOf(number)), bounds()))
+              ColdTargetLimiter(memberHash(EmulatedFleet::memberOf(number)), bounds()))
     , m_fleet(fleet)
     , m_loop(loop)
     , m_directory(EmulatedFleet::memberOf(number))
@@ -49,7 +49,7 @@
     , m_exchange(loop, m_directory, *this, fleet.random, fleet.seeds())
     , m_dispatcher(targets, *this)
 {
-    targets.setColdFleet({});
+    targets.setColdTargetSenders({});
     targets.setServices({rule()}, loop.now());
     m_exchange.start();
     tick();
@@ -66,22 +66,22 @@
             ++next;
             continue;
         }
-        targets.ended(m_running[next].target, {1, 1, false}, TargetOutcome::Served, Hold, true,
-                      now);
+        targets.requestEnded(m_running[next].target, {1, 1, false}, TargetOutcome::Served, Hold,
+                             true, now);
         m_running[next] = m_running.back();
         m_running.pop_back();
     }
     m_dispatcher.review(now);
     for (unsigned request = 0; request < requests; ++request) {
-        m_dispatcher.offer({.exchange = ExchangeId(++m_lastRequest),
-                            .service = Service,
-                            .rank = {Tier(1), Tier(1)},
-                            .size = {1, 1, false},
-                            .arrived = now,
-                            .objective = Time(200),
-                            .deadline = now + Time(1000),
-                            .excluded = {}},
-                           now);
+        m_dispatcher.submit({.exchange = ExchangeId(++m_lastRequest),
+                             .service = Service,
+                             .rank = {Tier(1), Tier(1)},
+                             .size = {1, 1, false},
+                             .arrived = now,
+                             .objective = Time(200),
+                             .deadline = now + Time(1000),
+                             .excluded = {}},
+                            now);
     }
 }
 
@@ -93,15 +93,15 @@
     targets.review(now);
     targets.setCells(m_directory.weights(now));
     const bool isCut = m_fleet.isCutOff(number());
-    targets.setColdFleet(m_cold.review({!isCut && isFresh(), !isCut}, now));
+    targets.setColdTargetSenders(m_cold.review({!isCut && isFresh(), !isCut}, now));
     for (const KnownMember *member : m_directory.membersOfCell(m_directory.ownCell()))
-        send(member->brief.beaconAddress, Greeting {ownBrief(), false, false, {}});
+        send(member->info.beaconAddress, MemberGossip {ownBrief(), false, false, {}});
     m_exchange.sendSummaries();
 }
 
 void EmulatedProcess::take(const PeerDatagram &datagram)
 {
-    if (const auto *greeting = std::get_if<Greeting>(&datagram))
+    if (const auto *greeting = std::get_if<MemberGossip>(&datagram))
         m_exchange.take(*greeting);
     else
         m_exchange.take(std::get<CellSummary>(datagram));
@@ -109,7 +109,7 @@
 
 void EmulatedProcess::onPlaced(ExchangeId, const TargetEntry &target)
 {
-    m_running.push_back({target.start(), m_loop.now() + Hold});
+    m_running.push_back({target.instance(), m_loop.now() + Hold});
     m_fleet.received(target);
 }
 
@@ -198,7 +198,7 @@
             continue;
         target.wrote = now();
         const Duration coldFor = std::max<Duration>(target.coldUntil - now(), Duration::zero());
-        if (coldFor != std::exchange(target.entry.coldFor, coldFor))
+        if (coldFor != std::exchange(target.entry.remainingColdTime, coldFor))
             publish(target.entry);
     }
     for (const Evacuation &ended : m_evacuations) {
--- a/packages/serving/tests/apricothook_emulated_cold_fleet.hpp
+++ b/packages/serving/tests/apricothook_emulated_cold_fleet.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <apricothook/dispatch/apricothook_dispatcher.hpp>
-#include <apricothook/fleetview/apricothook_cold_outlook.hpp>
+#include <apricothook/fleetview/apricothook_cold_view_tracker.hpp>
 #include <apricothook/serving/apricothook_fleet_exchange.hpp>
 
 #include <apricothook_emulated_fleet.hpp>
@@ -28,25 +28,25 @@
     void take(const PeerDatagram &datagram) override;
 
     /** It has just started, and reads at the source itself. */
-    bool isFresh() const { return m_cold.hasOldEntries(true, m_loop.now()); }
+    bool isFresh() const { return m_cold.mayHaveStaleEntries(true, m_loop.now()); }
 
     TargetTable targets;
 
 private:
     struct Running
     {
-        TargetStart target;
+        TargetInstance target;
         Instant ends {};
     };
 
     void onPlaced(ExchangeId exchange, const TargetEntry &target) override;
-    void onRefused(ExchangeId, const RefusalFacts &) override { }
+    void onRefused(ExchangeId, const RefusalDetails &) override { }
     void tick();
 
     EmulatedColdFleet &m_fleet;
     EventLoop &m_loop;
     FleetDirectory m_directory;
-    ColdOutlook m_cold;
+    ColdViewTracker m_cold;
     FleetExchange m_exchange;
     Dispatcher m_dispatcher;
     std::vector<Running> m_running;
--- a/packages/serving/tests/apricothook_emulated_fleet.cpp
+++ b/packages/serving/tests/apricothook_emulated_fleet.cpp
@@ -27,9 +27,9 @@
         send(receiver, datagram);
 }
 
-MemberBrief EmulatedDaemon::ownBrief() const
+MemberInfo EmulatedDaemon::ownBrief() const
 {
-    MemberBrief brief;
+    MemberInfo brief;
     brief.member = EmulatedFleet::memberOf(m_number);
     brief.process = Incarnation(m_startedAt);
     brief.beaconAddress = EmulatedFleet::addressOf(m_number);
@@ -45,7 +45,7 @@
 void EmulatedFleet::startAll()
 {
     for (std::size_t number = 0; number < m_daemons.size(); ++number) {
-        m_daemons[number].clock = std::make_unique<HandClock>();
+        m_daemons[number].clock = std::make_unique<ManualClock>();
         m_daemons[number].loop = std::make_unique<EventLoop>(*m_daemons[number].clock);
         startDaemon(number);
     }
--- a/packages/serving/tests/apricothook_emulated_fleet.hpp
+++ b/packages/serving/tests/apricothook_emulated_fleet.hpp
@@ -1,12 +1,12 @@
 #pragma once
 
 #include <apricothook/eventloop/apricothook_event_loop.hpp>
-#include <apricothook/fleetview/apricothook_member_brief.hpp>
+#include <apricothook/fleetview/apricothook_member_info.hpp>
 #include <apricothook/fleetview/apricothook_peer_datagram.hpp>
 #include <apricothook/serving/apricothook_peer_sender.hpp>
 
-#include <apricothook/testsupport/apricothook_hand_clock.hpp>
-#include <apricothook/testsupport/apricothook_repeatable_random.hpp>
+#include <apricothook/testsupport/apricothook_deterministic_random.hpp>
+#include <apricothook/testsupport/apricothook_manual_clock.hpp>
 
 #include <memory>
 #include <vector>
@@ -31,7 +31,7 @@
 protected:
     void send(const Endpoint &to, const PeerDatagram &datagram) override;
     void send(const std::vector<Endpoint> &to, const PeerDatagram &datagram) override;
-    MemberBrief ownBrief() const override;
+    MemberInfo ownBrief() const override;
     std::uint64_t ownRevision() const override { return 0; }
     std::uint16_t number() const { return m_number; }
 
@@ -75,7 +75,7 @@
     /** Datagrams from the daemons before `first` to the others are lost, and back too. */
     void split(std::size_t first, Time time, bool oneWay);
 
-    RepeatableRandom random;
+    DeterministicRandom random;
 
 protected:
     virtual std::unique_ptr<EmulatedDaemon> start(std::uint16_t number, EventLoop &loop) = 0;
@@ -94,7 +94,7 @@
 
     struct Daemon
     {
-        std::unique_ptr<HandClock> clock;
+        std::unique_ptr<ManualClock> clock;
         std::unique_ptr<EventLoop> loop;
         std::unique_ptr<EmulatedDaemon> process;
         Time downUntil {};
--- a/packages/serving/tests/apricothook_emulated_retry_fleet.cpp
+++ b/packages/serving/tests/apricothook_emulated_retry_fleet.cpp
@@ -48,13 +48,13 @@
     m_directory.review(m_ticked);
     m_size.review(m_ticked);
     for (const KnownMember *member : m_directory.membersOfCell(m_directory.ownCell()))
-        send(member->brief.beaconAddress, Greeting {ownBrief(), false, false, {}});
+        send(member->info.beaconAddress, MemberGossip {ownBrief(), false, false, {}});
     m_exchange.sendSummaries();
 }
 
 void EmulatedRetryDaemon::take(const PeerDatagram &datagram)
 {
-    if (const auto *greeting = std::get_if<Greeting>(&datagram))
+    if (const auto *greeting = std::get_if<MemberGossip>(&datagram))
         m_exchange.take(*greeting);
     else
         m_exchange.take(std::get<CellSummary>(datagram));
--- a/packages/serving/tests/apricothook_emulated_retry_fleet.hpp
+++ b/packages/serving/tests/apricothook_emulated_retry_fleet.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <apricothook/dispatch/apricothook_retry_allowance.hpp>
+#include <apricothook/dispatch/apricothook_retry_budget_share.hpp>
 #include <apricothook/fleetview/apricothook_fleet_size.hpp>
 #include <apricothook/serving/apricothook_fleet_exchange.hpp>
 
@@ -30,7 +30,7 @@
     FleetDirectory m_directory;
     FleetExchange m_exchange;
     FleetSize m_size;
-    RetryAllowance m_allowance;
+    RetryBudgetShare m_allowance;
     Instant m_ticked {};
 };
 
--- a/packages/serving/tests/apricothook_fleet_exchange_tests.cpp
+++ b/packages/serving/tests/apricothook_fleet_exchange_tests.cpp
@@ -1,7 +1,7 @@
 #include <apricothook/serving/apricothook_fleet_exchange.hpp>
 
-#include <apricothook/testsupport/apricothook_hand_clock.hpp>
-#include <apricothook/testsupport/apricothook_repeatable_random.hpp>
+#include <apricothook/testsupport/apricothook_deterministic_random.hpp>
+#include <apricothook/testsupport/apricothook_manual_clock.hpp>
 
 #include <doctest/doctest.h>
 
@@ -25,14 +25,14 @@
     StartedDaemon(StartedFleet &fleet, std::uint16_t number);
 
     void start() { m_exchange.start(); }
-    void take(const Greeting &greeting) { m_exchange.take(greeting); }
+    void take(const MemberGossip &greeting) { m_exchange.take(greeting); }
     void review(Instant now) { m_directory.review(now); }
     const FleetDirectory &directory() const { return m_directory; }
 
 private:
     void send(const Endpoint &to, const PeerDatagram &datagram) override;
     void send(const std::vector<Endpoint> &to, const PeerDatagram &datagram) override;
-    MemberBrief ownBrief() const override;
+    MemberInfo ownBrief() const override;
     std::uint64_t ownRevision() const override { return 0; }
 
     StartedFleet &m_fleet;
@@ -88,18 +88,18 @@
     void post(const Endpoint &to, const PeerDatagram &datagram)
     {
         bytes += writePeerDatagram(datagram).size();
-        m_way.emplace_back(to, std::get<Greeting>(datagram));
+        m_way.emplace_back(to, std::get<MemberGossip>(datagram));
     }
     std::size_t size() const { return m_daemons.size(); }
 
-    HandClock clock;
+    ManualClock clock;
     EventLoop loop {clock};
-    RepeatableRandom random {7};
+    DeterministicRandom random {7};
     std::size_t bytes = 0;
 
 private:
     std::vector<std::unique_ptr<StartedDaemon>> m_daemons;
-    std::vector<std::pair<Endpoint, Greeting>> m_way;
+    std::vector<std::pair<Endpoint, MemberGossip>> m_way;
     std::size_t m_step = 0;
 };
 
@@ -123,9 +123,9 @@
         m_fleet.post(receiver, datagram);
 }
 
-MemberBrief StartedDaemon::ownBrief() const
+MemberInfo StartedDaemon::ownBrief() const
 {
-    MemberBrief brief;
+    MemberInfo brief;
     brief.member = memberOf(m_number);
     brief.process = Incarnation(7);
     brief.beaconAddress = addressOf(m_number);
--- a/packages/serving/tests/apricothook_item_watcher_tests.cpp
+++ b/packages/serving/tests/apricothook_item_watcher_tests.cpp
@@ -1,7 +1,7 @@
 #include <apricothook/fleetview/apricothook_item_watcher.hpp>
 #include <apricothook/serving/apricothook_small_http_server.hpp>
 
-#include <apricothook/testsupport/apricothook_hand_clock.hpp>
+#include <apricothook/testsupport/apricothook_manual_clock.hpp>
 
 #include <doctest/doctest.h>
 
@@ -29,7 +29,7 @@
     Result<ItemUpdate, ItemProtocolError> watched(const SourceAnswer &answer) const override
     {
         if (answer.status == 410)
-            return ItemProtocolError::HistoryGone;
+            return ItemProtocolError::HistoryCompacted;
         if (answer.status != 200)
             return ItemProtocolError::Refused;
         const Revision revision = std::stoul(answer.body);
@@ -40,7 +40,7 @@
 /** A source on the test's loop, and a watcher of it. */
 struct SourceBench
 {
-    HandClock clock;
+    ManualClock clock;
     EventLoop loop {clock};
     NumberProtocol protocol;
     std::vector<std::string> asked;
@@ -73,7 +73,7 @@
     /** Three times as long as a watcher that goes on takes between two calls. */
     void passThreePauses()
     {
-        for (auto left = 3 * ItemWatcher::GatherPause; left.count() > 0; --left)
+        for (auto left = 3 * ItemWatcher::BatchDelay; left.count() > 0; --left)
             loop.runOnce(std::chrono::milliseconds(1));
     }
     bool hasAsked(const std::string &path)
@@ -91,8 +91,8 @@
     for (const int milliseconds : {1500, 2000, 3000}) {
         const std::chrono::milliseconds inForce {milliseconds};
         const auto shows
-            = ItemWatcher::GatherPause + ItemWatcher::watchTime(inForce) + ItemWatcher::AnswerTime;
-        CHECK(shows + ItemWatcher::TakeOverTime <= inForce);
+            = ItemWatcher::BatchDelay + ItemWatcher::watchTime(inForce) + ItemWatcher::AnswerTime;
+        CHECK(shows + ItemWatcher::FailoverTime <= inForce);
     }
     CHECK(ItemWatcher::watchTime(std::chrono::seconds(9)) == ItemWatcher::LongestWatch);
     CHECK(ItemWatcher::watchTime(Duration::zero()) == ItemWatcher::ShortestWatch);
--- a/packages/serving/tests/apricothook_limit_exchange_tests.cpp
+++ b/packages/serving/tests/apricothook_limit_exchange_tests.cpp
@@ -54,11 +54,11 @@
     {
         m_limits.take(message);
     }
-    void takeOne(const Greeting &greeting) { m_exchange.take(greeting); }
+    void takeOne(const MemberGossip &greeting) { m_exchange.take(greeting); }
     void takeOne(const CellSummary &summary) { m_exchange.take(summary); }
-    void takeOne(const Beacon &) { }
-    void takeOne(const CellReport &) { }
-    void takeOne(const ReaderNote &) { }
+    void takeOne(const Heartbeat &) { }
+    void takeOne(const CellLoadReport &) { }
+    void takeOne(const ReaderAnnouncement &) { }
     void takeOne(const SuspectNotice &) { }
 
     EmulatedLimitFleet &m_fleet;
@@ -116,7 +116,7 @@
     , m_fleet(fleet)
     , m_loop(loop)
     , m_gateway(loop, m_wire, fleet.random, m_log, m_metrics, limitBounds(), DataCentreId("d"), {},
-                {memberNumber(EmulatedFleet::memberOf(number)), EmulatedFleet::addressOf(number)})
+                {memberHash(EmulatedFleet::memberOf(number)), EmulatedFleet::addressOf(number)})
     , m_directory(EmulatedFleet::memberOf(number))
     , m_exchange(loop, m_directory, *this, fleet.random, fleet.seeds())
     , m_size(m_directory, fleet.seeds(), EmulatedFleet::addressOf(number))
@@ -134,12 +134,12 @@
     if (now - m_ticked >= TickPause)
         tick();
     for (unsigned request = 0; request < requests; ++request) {
-        const std::optional<LimitVerdict> verdict
+        const std::optional<LimitDecision> verdict
             = m_gateway.limits().take(ExchangeId(++m_lastRequest), carrier(), {1, 0}, now);
         if (verdict && verdict->isAdmitted)
             m_fleet.admitted();
     }
-    m_gateway.scheduleLimits();
+    m_gateway.scheduleLimitReview();
 }
 
 void EmulatedLimitDaemon::tick()
@@ -148,7 +148,7 @@
     m_directory.review(m_ticked);
     m_size.review(m_ticked);
     for (const KnownMember *member : m_directory.membersOfCell(m_directory.ownCell()))
-        send(member->brief.beaconAddress, Greeting {ownBrief(), false, false, {}});
+        send(member->info.beaconAddress, MemberGossip {ownBrief(), false, false, {}});
     m_limits.tick();
 }
 
--- a/packages/serving/tests/apricothook_published_state_tests.cpp
+++ b/packages/serving/tests/apricothook_published_state_tests.cpp
@@ -43,9 +43,9 @@
     StateBench bench;
     bench.write("t/a", "ready");
     bench.state.setSourceState(SourceState::Refusing);
-    bench.state.noteSource({.someReach = true, .someLost = true});
+    bench.state.noteSource({.anyReachable = true, .anyFailed = true});
     bench.pass(std::chrono::seconds(3));
-    bench.state.noteSource({.someReach = true, .someLost = true});
+    bench.state.noteSource({.anyReachable = true, .anyFailed = true});
     bench.write("t/a", std::nullopt);
     CHECK_FALSE(bench.has("a"));
 }
@@ -54,12 +54,12 @@
 {
     StateBench bench;
     bench.write("t/a", "ready");
-    bench.state.noteSource({.someReach = false, .someLost = true});
+    bench.state.noteSource({.anyReachable = false, .anyFailed = true});
     bench.pass(std::chrono::seconds(3));
-    bench.state.noteSource({.someReach = true, .someLost = true});
+    bench.state.noteSource({.anyReachable = true, .anyFailed = true});
     bench.write("t/a", std::nullopt);
     CHECK(bench.has("a"));
-    bench.pass(SourceOutage::RegisterAgainTime);
+    bench.pass(SourceOutage::ReregistrationTime);
     CHECK_FALSE(bench.has("a"));
 }
 
@@ -67,9 +67,9 @@
 {
     StateBench bench;
     bench.write("t/a", "ready");
-    bench.state.noteSource({.someReach = false, .someLost = true});
+    bench.state.noteSource({.anyReachable = false, .anyFailed = true});
     bench.pass(std::chrono::milliseconds(400));
-    bench.state.noteSource({.someReach = true, .someLost = true});
+    bench.state.noteSource({.anyReachable = true, .anyFailed = true});
     bench.write("t/a", std::nullopt);
     CHECK_FALSE(bench.has("a"));
 }
@@ -127,7 +127,7 @@
     CHECK_FALSE(bench.has("a"));
     // The held removal must not strike the target when it is back.
     bench.write("t/a", "ready");
-    bench.pass(SourceOutage::RegisterAgainTime);
+    bench.pass(SourceOutage::ReregistrationTime);
     CHECK(bench.has("a"));
 }
 
@@ -247,17 +247,17 @@
     StateBench bench;
     bench.write("c", "1");
     bench.write("t/a", "ready#1");
-    const Revision known = bench.state.replica().newsRevision();
+    const Revision known = bench.state.replica().relevantRevision();
     bench.write("t/a", "ready#2");
     bench.write("t/a", "ready#3");
-    CHECK(bench.state.replica().newsRevision() == known);
+    CHECK(bench.state.replica().relevantRevision() == known);
     // The sequence is kept: an older write that comes late is told by it.
     bench.write("t/a", "draining#4");
-    CHECK(bench.state.replica().newsRevision() == bench.revision);
+    CHECK(bench.state.replica().relevantRevision() == bench.revision);
     bench.write("t/a", "draining#5");
-    CHECK(bench.state.replica().newsRevision() == bench.revision - 1);
+    CHECK(bench.state.replica().relevantRevision() == bench.revision - 1);
     bench.write("t/a", "ready#4");
     CHECK_FALSE(bench.isOffered("a"));
     bench.write("t/a", std::nullopt);
-    CHECK(bench.state.replica().newsRevision() == bench.revision);
+    CHECK(bench.state.replica().relevantRevision() == bench.revision);
 }
--- a/packages/serving/tests/apricothook_retry_fleet_tests.cpp
+++ b/packages/serving/tests/apricothook_retry_fleet_tests.cpp
@@ -35,7 +35,7 @@
 
 void play(EmulatedRetryFleet &fleet, Harm harm)
 {
-    RepeatableRandom &random = fleet.random;
+    DeterministicRandom &random = fleet.random;
     const std::size_t one = random.next() % fleet.daemons();
     const Time time(500 + random.next() % 9000);
     const auto each = [&](std::size_t partOf, const auto &act) {
@@ -125,7 +125,7 @@
     // RETRY_SEEDS plays more.
     double worst = 0;
     for (std::uint64_t seed = 1; seed <= seedsToPlay(); ++seed) {
-        RepeatableRandom draw(seed);
+        DeterministicRandom draw(seed);
         const std::size_t daemons = 1 + draw.next() % 40;
         EmulatedRetryFleet fleet(daemons, seed);
         fleet.run(Time(3000));
--- a/packages/serving/tests/apricothook_revision_follower_tests.cpp
+++ b/packages/serving/tests/apricothook_revision_follower_tests.cpp
@@ -21,16 +21,16 @@
               if (isBroken)
                   answer.status = 500;
               else
-                  answer.body = writeItemUpdate(peer.since(*askedRevision(request.target)));
+                  answer.body = writeItemUpdate(peer.since(*requestedRevision(request.target)));
               return answer;
           }).value();
     RevisionFollower follower {loop, state, log};
     bool isBroken = false;
     int asked = 0;
 
-    MemberBrief brief() const
+    MemberInfo brief() const
     {
-        MemberBrief brief;
+        MemberInfo brief;
         brief.member = MemberId("peer");
         brief.itemAddress = {"127.0.0.1", server->port()};
         return brief;
--- a/packages/serving/tests/apricothook_small_http_server_tests.cpp
+++ b/packages/serving/tests/apricothook_small_http_server_tests.cpp
@@ -1,6 +1,6 @@
 #include <apricothook/serving/apricothook_small_http_server.hpp>
 
-#include <apricothook/testsupport/apricothook_hand_clock.hpp>
+#include <apricothook/testsupport/apricothook_manual_clock.hpp>
 
 #include <doctest/doctest.h>
 
@@ -29,7 +29,7 @@
 {
     // Nobody sees the crash at the end of a process but its exit status. A connection that has
     // just ended is destroyed by the loop, after the server.
-    HandClock clock;
+    ManualClock clock;
     EventLoop loop {clock};
     int asked = 0;
     std::unique_ptr<SmallHttpServer> server
--- a/packages/serving/tests/apricothook_state_bench.hpp
+++ b/packages/serving/tests/apricothook_state_bench.hpp
@@ -2,7 +2,7 @@
 
 #include <apricothook/serving/apricothook_published_state.hpp>
 
-#include <apricothook/testsupport/apricothook_hand_clock.hpp>
+#include <apricothook/testsupport/apricothook_manual_clock.hpp>
 
 #include <optional>
 #include <string>
@@ -60,20 +60,20 @@
 };
 
 /** The test looks at the gateway's state; no caller or target is connected. */
-class NoWire : public WireDialect
+class NoWire : public WireProtocol
 {
 public:
     Result<RequestFields, RequestFieldsError> callerRequest(const RequestHead &) const override
     {
-        return RequestFieldsError::NoId;
+        return RequestFieldsError::MissingId;
     }
     RequestHead targetRequest(const RequestHead &head, const TargetRequestFields &) const override
     {
         return head;
     }
-    TargetVerdict verdict(const ResponseHead &) const override { return {}; }
-    ResponseHead callerAnswer(const ResponseHead &head) const override { return head; }
-    ResponseHead ownAnswer(unsigned, const RequestKey &, std::optional<Duration>) const override
+    TargetResponseFields targetResponse(const ResponseHead &) const override { return {}; }
+    ResponseHead callerResponse(const ResponseHead &head) const override { return head; }
+    ResponseHead localResponse(unsigned, const RequestKey &, std::optional<Duration>) const override
     {
         return {};
     }
@@ -94,7 +94,7 @@
 /** Published items in front of a gateway without callers and targets. */
 struct StateBench
 {
-    HandClock clock;
+    ManualClock clock;
     EventLoop loop {clock};
     NoWire wire;
     NoRandom random;
@@ -119,13 +119,13 @@
     /** Its target may get requests. */
     bool isOffered(const std::string &target)
     {
-        const BelievedTarget *known = gateway.targets().find(TargetId(target));
+        const TrackedTarget *known = gateway.targets().find(TargetId(target));
         return known && !known->entry.isDraining;
     }
     /** A cell may use slots of it. */
     bool takesWork(const std::string &target)
     {
-        const BelievedTarget *known = gateway.targets().find(TargetId(target));
+        const TrackedTarget *known = gateway.targets().find(TargetId(target));
         return known && known->cellSlots > 0;
     }
     bool has(const std::string &target)
--- a/packages/serving/tests/apricothook_suspect_exchange_tests.cpp
+++ b/packages/serving/tests/apricothook_suspect_exchange_tests.cpp
@@ -38,11 +38,11 @@
         m_told = m_loop.now();
         m_directory.review(m_told);
         for (const KnownMember *member : m_directory.membersOfCell(m_directory.ownCell()))
-            send(member->brief.beaconAddress, Greeting {ownBrief(), false, false, {}});
+            send(member->info.beaconAddress, MemberGossip {ownBrief(), false, false, {}});
     }
     void take(const PeerDatagram &datagram) override
     {
-        if (const auto *greeting = std::get_if<Greeting>(&datagram))
+        if (const auto *greeting = std::get_if<MemberGossip>(&datagram))
             m_exchange.take(*greeting);
         else if (const auto *notice = std::get_if<SuspectNotice>(&datagram))
             m_suspects.take(*notice);
@@ -93,10 +93,10 @@
 TEST_CASE("a request that crashes targets through several daemons is refused by the fleet")
 {
     EmulatedSuspectFleet fleet(8);
-    fleet.suspectsOf(0).noteCrash(TargetId("t1"), {Poison, Innocent});
+    fleet.suspectsOf(0).recordCrash(TargetId("t1"), {Poison, Innocent});
     fleet.run(Time(500));
     CHECK(fleet.quarantinedAt(Poison) == 0);
-    fleet.suspectsOf(5).noteCrash(TargetId("t2"), {Poison, Another});
+    fleet.suspectsOf(5).recordCrash(TargetId("t2"), {Poison, Another});
     fleet.run(Time(500));
     CHECK(fleet.quarantinedAt(Poison) >= 7);
     CHECK(fleet.quarantinedAt(Innocent) == 0);
@@ -108,9 +108,9 @@
     // Targets crash for reasons of their own, and each ran one of these requests.
     EmulatedSuspectFleet fleet(8);
     for (std::size_t number = 0; number < fleet.daemons(); ++number)
-        fleet.suspectsOf(number).noteAnswered(Innocent);
-    fleet.suspectsOf(0).noteCrash(TargetId("t1"), {Innocent});
-    fleet.suspectsOf(1).noteCrash(TargetId("t2"), {Innocent});
+        fleet.suspectsOf(number).recordAnswer(Innocent);
+    fleet.suspectsOf(0).recordCrash(TargetId("t1"), {Innocent});
+    fleet.suspectsOf(1).recordCrash(TargetId("t2"), {Innocent});
     fleet.run(Time(500));
     CHECK(fleet.quarantinedAt(Innocent) == 0);
 }
@@ -118,9 +118,9 @@
 TEST_CASE("a daemon that has answered a request clears it at those that suspect it")
 {
     EmulatedSuspectFleet fleet(8);
-    fleet.suspectsOf(7).noteAnswered(Innocent);
-    fleet.suspectsOf(0).noteCrash(TargetId("t1"), {Innocent});
-    fleet.suspectsOf(1).noteCrash(TargetId("t2"), {Innocent});
+    fleet.suspectsOf(7).recordAnswer(Innocent);
+    fleet.suspectsOf(0).recordCrash(TargetId("t1"), {Innocent});
+    fleet.suspectsOf(1).recordCrash(TargetId("t2"), {Innocent});
     fleet.run(Time(500));
     CHECK(fleet.quarantinedAt(Innocent) == 0);
 }
--- a/packages/steward/apricothook/steward/apricothook_shard_map.cpp
+++ b/packages/steward/apricothook/steward/apricothook_shard_map.cpp
@@ -51,13 +51,13 @@
     for (const MemberUpdate &member : members) {
         if (!accepts(member))
             continue;
-        const std::uint64_t weight = hashOf(member.life.member.text(), seed);
+        const std::uint64_t weight = hashOf(member.instance.member.text(), seed);
         if (!best || weight > bestWeight) {
             best = &member;
             bestWeight = weight;
         }
     }
-    return best ? best->life.member : MemberId();
+    return best ? best->instance.member : MemberId();
 }
 
 /** `left`: a member that isn't taken unless there is no other. */
@@ -66,7 +66,7 @@
 {
     const std::uint64_t seed = seedOf(id);
     const auto stays = [&](const MemberUpdate &m) {
-        return m.state != MemberState::Leaving && m.life.member != left;
+        return m.state != MemberState::Leaving && m.instance.member != left;
     };
     const auto isNear = [&](const MemberUpdate &m) { return stays(m) && m.region == id.region; };
     // A steward that died would keep its shard until its death is certain, and a service with one
--- a/packages/steward/apricothook/steward/apricothook_steward.cpp
+++ b/packages/steward/apricothook/steward/apricothook_steward.cpp
@@ -144,7 +144,7 @@
     held->ledger.setLeaving(m_leaving, now, none);
     std::set<MemberId> reporters;
     for (const MemberUpdate &member : m_members.live())
-        reporters.insert(member.life.member);
+        reporters.insert(member.instance.member);
     reporters.erase(m_members.self().member);
     held->ledger.startHandOver(std::move(reporters), !state.peers.empty(), now);
     m_held.emplace(shard.id, std::move(held));
--- a/packages/steward/apricothook/steward/internal/apricothook_shard_ledger.cpp
+++ b/packages/steward/apricothook/steward/internal/apricothook_shard_ledger.cpp
@@ -369,13 +369,14 @@
     return Room {m_context.members.visibleShare(), !isReady(now), keepsShortLane};
 }
 
-bool ShardLedger::isDead(const MemberLife &entry) const
+bool ShardLedger::isDead(const MemberInstance &entry) const
 {
     const std::optional<MemberUpdate> member = m_context.members.find(entry.member);
     if (!member)
         return false;
-    return member->life.incarnation > entry.incarnation
-        || (member->life.incarnation == entry.incarnation && member->state == MemberState::Dead);
+    return member->instance.incarnation > entry.incarnation
+        || (member->instance.incarnation == entry.incarnation
+            && member->state == MemberState::Dead);
 }
 
 double ShardLedger::weightOf(const CustomerId &customer) const
--- a/packages/steward/apricothook/steward/internal/apricothook_shard_ledger.hpp
+++ b/packages/steward/apricothook/steward/internal/apricothook_shard_ledger.hpp
@@ -99,7 +99,7 @@
     void requeue(Instant now, Outbox &out);
     Duration expectedWait(Tier tier, const CustomerId &customer, Instant now) const;
     TargetMask waitedForAbove(Tier tier) const;
-    bool isDead(const MemberLife &entry) const;
+    bool isDead(const MemberInstance &entry) const;
     bool isReady(Instant now) const
     {
         return (m_awaited.empty() && now >= m_earliestReady) || now >= m_readyAt;
--- a/packages/steward/tests/apricothook_pressure_tests.cpp
+++ b/packages/steward/tests/apricothook_pressure_tests.cpp
@@ -30,7 +30,7 @@
             const std::optional<ReserveReply> reply = bench.ask(bench.request(1));
             atOnce += reply && reply->verdict == ReserveVerdict::Reserved ? 1 : 0;
         }
-        for (const Outgoing &outgoing : bench.out) {
+        for (const OutgoingMessage &outgoing : bench.out) {
             const auto *reply = std::get_if<ReserveReply>(&outgoing.message);
             if (reply && reply->verdict == ReserveVerdict::Reserved
                 && !std::exchange(isSeen[reply->attempt], true))
--- a/packages/steward/tests/apricothook_shard_chooser_tests.cpp
+++ b/packages/steward/tests/apricothook_shard_chooser_tests.cpp
@@ -105,7 +105,7 @@
         names.reserve(160);
         for (int index = 0; index < 160; ++index)
             names.push_back("m" + std::to_string(index));
-        FakeMembers view("m0", names);
+        FakeMemberView view("m0", names);
         std::map<MemberId, int> shards;
         std::map<ShardId, MemberId> before;
         for (const auto &[id, shard] : map.shards()) {
@@ -129,7 +129,7 @@
         // lose their shards. Where all members are suspects, one of them keeps the shard.
         const ShardMap map(fleet(4, 4));
         const ShardId shard = map.shards().begin()->first;
-        FakeMembers view("m9", {"m1", "m2", "m3"});
+        FakeMemberView view("m9", {"m1", "m2", "m3"});
         const MemberId steward = map.stewardOf(shard, view);
         const MemberId deputy = map.deputyOf(shard, view);
         CHECK(deputy != steward);
--- a/packages/steward/tests/apricothook_steward_fakes.hpp
+++ b/packages/steward/tests/apricothook_steward_fakes.hpp
@@ -15,10 +15,10 @@
 using namespace std::chrono_literals;
 
 /** A member view that the test writes. */
-class FakeMembers : public MemberView
+class FakeMemberView : public MemberView
 {
 public:
-    FakeMembers(const std::string &self, const std::vector<std::string> &names)
+    FakeMemberView(const std::string &self, const std::vector<std::string> &names)
         : m_self {MemberId(self), Incarnation(1)}
     {
         for (const std::string &name : names)
@@ -27,15 +27,15 @@
     static MemberUpdate member(const std::string &name, MemberState state)
     {
         MemberUpdate update;
-        update.life = {MemberId(name), Incarnation(1)};
+        update.instance = {MemberId(name), Incarnation(1)};
         update.state = state;
         update.region = RegionId("r1");
         return update;
     }
     void set(const std::string &name, MemberState state)
     {
-        std::erase_if(m_live, [&](const auto &m) { return m.life.member.text() == name; });
-        std::erase_if(m_dead, [&](const auto &m) { return m.life.member.text() == name; });
+        std::erase_if(m_live, [&](const auto &m) { return m.instance.member.text() == name; });
+        std::erase_if(m_dead, [&](const auto &m) { return m.instance.member.text() == name; });
         (state == MemberState::Dead ? m_dead : m_live).push_back(member(name, state));
         std::sort(m_live.begin(), m_live.end());
         ++m_version;
@@ -44,18 +44,18 @@
     void refuteSelf()
     {
         for (MemberUpdate &update : m_live)
-            update.refutation += update.life == m_self ? 1 : 0;
+            update.refutation += update.instance == m_self ? 1 : 0;
         ++m_version;
     }
     void setShare(double share) { m_share = share; }
 
-    const MemberLife &self() const override { return m_self; }
+    const MemberInstance &self() const override { return m_self; }
     const std::vector<MemberUpdate> &live() const override { return m_live; }
     std::optional<MemberUpdate> find(const MemberId &id) const override
     {
         for (const auto *list : {&m_live, &m_dead}) {
             for (const MemberUpdate &update : *list) {
-                if (update.life.member == id)
+                if (update.instance.member == id)
                     return update;
             }
         }
@@ -65,7 +65,7 @@
     double visibleShare() const override { return m_share; }
 
 private:
-    MemberLife m_self;
+    MemberInstance m_self;
     std::vector<MemberUpdate> m_live;
     std::vector<MemberUpdate> m_dead;
     std::uint64_t m_version = 1;
@@ -201,7 +201,7 @@
 
     Instant now {1h};
     std::uint64_t exchange = 0;
-    FakeMembers members;
+    FakeMemberView members;
     FakeEvents events;
     Outbox out;
     Steward steward;
--- a/packages/steward/tests/apricothook_steward_fleet.hpp
+++ b/packages/steward/tests/apricothook_steward_fleet.hpp
@@ -28,7 +28,7 @@
         configuration->text = fleet(2, slots);
         configuration->text.policy.shardTargets = 1;
         for (const std::string name : {"a", "b", "c"}) {
-            views.emplace(name, std::make_unique<FakeMembers>(name, Names));
+            views.emplace(name, std::make_unique<FakeMemberView>(name, Names));
             stewards.emplace(name,
                              std::make_unique<Steward>(*views.at(name), events,
                                                        std::make_unique<FixedExpiry>(60s), policy));
@@ -153,11 +153,11 @@
     Instant now {1h};
     std::uint64_t exchange = 0;
     FakeEvents events;
-    std::map<std::string, std::unique_ptr<FakeMembers>> views;
+    std::map<std::string, std::unique_ptr<FakeMemberView>> views;
     std::map<std::string, std::unique_ptr<Steward>> stewards;
     std::vector<std::pair<std::string, ShardId>> keepers;
     std::set<std::string> stopped;
-    std::vector<std::pair<std::string, Outgoing>> network;
+    std::vector<std::pair<std::string, OutgoingMessage>> network;
     std::map<AttemptId, ReserveRequest> requests;
     std::set<AttemptId> reserved;
     std::vector<Told> trace;
@@ -165,7 +165,7 @@
 private:
     void collect(const std::string &by, const Outbox &out)
     {
-        for (const Outgoing &outgoing : out) {
+        for (const OutgoingMessage &outgoing : out) {
             const auto *reply = std::get_if<ReserveReply>(&outgoing.message);
             if (!reply) {
                 if (!std::holds_alternative<ShardSummary>(outgoing.message) && !stopped.contains(by)
--- a/packages/suspects/apricothook/suspects/apricothook_answered_requests.cpp
+++ b/packages/suspects/apricothook/suspects/apricothook_answered_requests.cpp
@@ -4,7 +4,7 @@
 
 namespace Apricothook {
 
-void AnsweredRequests::note(Fingerprint request, Instant now)
+void AnsweredRequests::add(Fingerprint request, Instant now)
 {
     if (now - m_begun >= Memory || m_latest.size() >= MostRemembered) {
         m_before = std::exchange(m_latest, {});
@@ -13,7 +13,7 @@
     m_latest.insert(request);
 }
 
-bool AnsweredRequests::has(Fingerprint request) const
+bool AnsweredRequests::contains(Fingerprint request) const
 {
     return m_latest.contains(request) || m_before.contains(request);
 }
--- a/packages/suspects/apricothook/suspects/apricothook_answered_requests.hpp
+++ b/packages/suspects/apricothook/suspects/apricothook_answered_requests.hpp
@@ -16,8 +16,8 @@
     /** Of one half of the memory; a busy daemon answers fewer. */
     static constexpr std::size_t MostRemembered = 8192;
 
-    void note(Fingerprint request, Instant now);
-    bool has(Fingerprint request) const;
+    void add(Fingerprint request, Instant now);
+    bool contains(Fingerprint request) const;
 
 private:
     std::unordered_set<Fingerprint> m_latest;
--- a/packages/suspects/apricothook/suspects/apricothook_suspect_list.cpp
+++ b/packages/suspects/apricothook/suspects/apricothook_suspect_list.cpp
@@ -20,7 +20,7 @@
 {
 }
 
-void SuspectList::noteCrash(const TargetCrash &crash, Instant now, Outbox &out)
+void SuspectList::recordCrash(const TargetCrash &crash, Instant now, Outbox &out)
 {
     forgetOld(now);
     for (const Fingerprint fingerprint : crash.running)
@@ -121,13 +121,13 @@
     return std::max(Duration::zero(), end - now);
 }
 
-std::vector<TargetId> SuspectList::excludedFor(Fingerprint fingerprint) const
+std::vector<TargetId> SuspectList::excludedTargets(Fingerprint fingerprint) const
 {
     const auto found = m_suspects.find(fingerprint);
     return found == m_suspects.end() ? std::vector<TargetId>() : found->second.crashed;
 }
 
-void SuspectList::noteAnswered(Fingerprint fingerprint, Instant now)
+void SuspectList::recordAnswer(Fingerprint fingerprint, Instant now)
 {
     const auto found = m_suspects.find(fingerprint);
     if (found == m_suspects.end())
@@ -165,7 +165,7 @@
     const std::size_t stride = std::max<std::size_t>(1, live.size() / (count + 1));
     std::size_t sent = 0;
     for (std::size_t step = 0; step < live.size() && sent < count; ++step, place += stride) {
-        const MemberId &member = live[place % live.size()].life.member;
+        const MemberId &member = live[place % live.size()].instance.member;
         if (member == m_members.self().member)
             continue;
         out.push_back({member, notice});
--- a/packages/suspects/apricothook/suspects/apricothook_suspect_list.hpp
+++ b/packages/suspects/apricothook/suspects/apricothook_suspect_list.hpp
@@ -51,9 +51,9 @@
     SuspectList(const MemberView &members, RandomSource &random, EventSink &events,
                 SuspectLimits limits = {});
 
-    void noteCrash(const TargetCrash &crash, Instant now, Outbox &out);
+    void recordCrash(const TargetCrash &crash, Instant now, Outbox &out);
     /** A request was answered whole: it doesn't crash what runs it. */
-    void noteAnswered(Fingerprint fingerprint, Instant now);
+    void recordAnswer(Fingerprint fingerprint, Instant now);
     void handle(const MemberId &from, const SuspectNotice &notice, Instant now, Outbox &out);
 
     /** Asked before each dispatch; Trial is given out once. */
@@ -61,7 +61,7 @@
     /** Time left of a quarantine, for Retry-After. */
     Duration quarantineLeft(Fingerprint fingerprint, Instant now) const;
     /** Targets that this request may have crashed: it is sent to others. */
-    std::vector<TargetId> excludedFor(Fingerprint fingerprint) const;
+    std::vector<TargetId> excludedTargets(Fingerprint fingerprint) const;
     bool isSuspect(Fingerprint fingerprint) const { return m_suspects.contains(fingerprint); }
     std::size_t size() const { return m_suspects.size(); }
 
--- a/packages/suspects/tests/apricothook_suspect_list_tests.cpp
+++ b/packages/suspects/tests/apricothook_suspect_list_tests.cpp
@@ -1,6 +1,6 @@
 #include <apricothook/suspects/apricothook_suspect_list.hpp>
 
-#include <apricothook/testsupport/apricothook_fake_members.hpp>
+#include <apricothook/testsupport/apricothook_fake_member_view.hpp>
 
 #include <doctest/doctest.h>
 
@@ -19,14 +19,14 @@
 {
     void crash(const std::string &target, std::vector<Fingerprint> running, double seconds = 0)
     {
-        list.noteCrash({TargetId(target), std::move(running)}, at(seconds), out);
+        list.recordCrash({TargetId(target), std::move(running)}, at(seconds), out);
     }
     bool isRefused(Fingerprint fingerprint, double seconds = 0)
     {
         return list.check(fingerprint, at(seconds)) == SuspectVerdict::Quarantined;
     }
 
-    FakeMembers members {{MemberId("a"), Incarnation(1)}, {"b", "c", "d", "e", "f", "g"}};
+    FakeMemberView members {{MemberId("a"), Incarnation(1)}, {"b", "c", "d", "e", "f", "g"}};
     FakeRandom random;
     FakeEvents events;
     SuspectLimits limits;
@@ -46,7 +46,7 @@
         Fixture f;
         f.crash("t1", {Innocent, Poison});
         CHECK_FALSE(f.isRefused(Poison));
-        CHECK(f.list.excludedFor(Poison) == std::vector {TargetId("t1")});
+        CHECK(f.list.excludedTargets(Poison) == std::vector {TargetId("t1")});
         f.crash("t2", {Poison, Another});
         CHECK(f.isRefused(Poison));
         CHECK_FALSE(f.isRefused(Innocent));
@@ -73,9 +73,9 @@
         }
         SUBCASE("so do answers to the others")
         {
-            f.list.noteAnswered(Innocent, at(1));
+            f.list.recordAnswer(Innocent, at(1));
             CHECK_FALSE(f.isRefused(Poison));
-            f.list.noteAnswered(Another, at(1));
+            f.list.recordAnswer(Another, at(1));
             CHECK(f.isRefused(Poison));
         }
     }
@@ -121,7 +121,7 @@
         {
             for (std::size_t i = 3; i < 3 + f.limits.targets; ++i)
                 f.crash("t" + std::to_string(i), {Poison}, 610 + static_cast<double>(i));
-            CHECK(f.list.excludedFor(Poison).size() == f.limits.targets);
+            CHECK(f.list.excludedTargets(Poison).size() == f.limits.targets);
             CHECK(f.isRefused(Poison, 611 + static_cast<double>(f.limits.targets) + 599));
         }
         SUBCASE("news of a crash at another entry's trial: refused again")
@@ -137,7 +137,7 @@
         }
         SUBCASE("an answer: free")
         {
-            f.list.noteAnswered(Poison, at(610));
+            f.list.recordAnswer(Poison, at(610));
             CHECK(f.list.check(Poison, at(611)) == SuspectVerdict::Clear);
         }
         SUBCASE("nothing: one more trial")
@@ -151,7 +151,7 @@
         Fixture f;
         f.crash("t1", {Poison});
         std::set<MemberId> told;
-        for (const Outgoing &outgoing : f.out)
+        for (const OutgoingMessage &outgoing : f.out)
             told.insert(outgoing.to);
         CHECK(told.size() == f.limits.fanOut);
         CHECK_FALSE(told.contains(MemberId("a")));
--- a/packages/target/apricothook/target/apricothook_target_client.cpp
+++ b/packages/target/apricothook/target/apricothook_target_client.cpp
@@ -1,6 +1,6 @@
 #include <apricothook/target/apricothook_target_client.hpp>
 
-#include <apricothook/ports/apricothook_bounded_ring.hpp>
+#include <apricothook/ports/apricothook_bounded_queue.hpp>
 #include <apricothook/target/internal/apricothook_loop_waker.hpp>
 #include <apricothook/target/internal/apricothook_transfer_loop.hpp>
 
@@ -47,7 +47,7 @@
             // Held over the put: an order that came into the ring after the thread's last look
             // would never end, and its caller would wait for good.
             const std::lock_guard lock(m_mutex);
-            if (m_isStopped || !m_ring.tryPut(std::move(order)))
+            if (m_isStopped || !m_ring.tryPush(std::move(order)))
                 return false;
         }
         m_waker->wake();
@@ -64,7 +64,7 @@
     std::mutex m_mutex;
     bool m_isStopped = false;
     bool m_isStarted = false;
-    BoundedRing<TargetOrder> m_ring;
+    BoundedQueue<TargetOrder> m_ring;
     std::shared_ptr<LoopWaker> m_waker;
     TransferLoop m_loop;
 };
--- a/packages/target/apricothook/target/internal/apricothook_dispatch.cpp
+++ b/packages/target/apricothook/target/internal/apricothook_dispatch.cpp
@@ -229,7 +229,7 @@
         return;
     m_firstByteAt = m_lastByteAt;
     m_firstByte = m_lastByteAt - m_sentAt;
-    m_context.inbox().tryGive(DispatchStarted {m_order.dispatch, m_firstByte});
+    m_context.inbox().tryPost(DispatchStarted {m_order.dispatch, m_firstByte});
 }
 
 void Dispatch::onEnded(const ExchangeEnd &exchangeEnd)
@@ -324,7 +324,7 @@
     if (m_firstByteAt)
         ended.streaming = m_lastByteAt - *m_firstByteAt;
     ended.cachedTokens = m_scanner.cachedTokens();
-    m_context.inbox().give(ended);
+    m_context.inbox().post(ended);
 }
 
 } // namespace Apricothook
--- a/packages/target/apricothook/target/internal/apricothook_transfer_loop.cpp
+++ b/packages/target/apricothook/target/internal/apricothook_transfer_loop.cpp
@@ -28,7 +28,7 @@
 } // namespace
 
 TransferLoop::TransferLoop(CoreInbox &inbox, const Clock &clock, TargetOptions options,
-                           BoundedRing<TargetOrder> &ring, std::shared_ptr<LoopWaker> waker)
+                           BoundedQueue<TargetOrder> &ring, std::shared_ptr<LoopWaker> waker)
     : m_inbox(inbox)
     , m_clock(clock)
     , m_options(std::move(options))
@@ -73,7 +73,7 @@
 void TransferLoop::takeOrders()
 {
     for (std::size_t taken = 0; taken < OrdersPerTurn; ++taken) {
-        std::optional<TargetOrder> order = m_ring.tryTake();
+        std::optional<TargetOrder> order = m_ring.tryPop();
         if (!order)
             return;
         std::visit([this](auto &&each) { take(std::forward<decltype(each)>(each)); },
@@ -123,11 +123,11 @@
         dispatch->cancel();
     for (const std::unique_ptr<Activity> &call : m_calls)
         call->cancel();
-    while (std::optional<TargetOrder> order = m_ring.tryTake()) {
+    while (std::optional<TargetOrder> order = m_ring.tryPop()) {
         if (const auto *dispatch = std::get_if<DispatchOrder>(&*order))
-            m_inbox.give(Dispatch::neverBegun(*dispatch));
+            m_inbox.post(Dispatch::neverBegun(*dispatch));
         if (const auto *engine = std::get_if<EngineOrder>(&*order))
-            m_inbox.give(EngineOrderEnded {engine->id, engine->target, 0});
+            m_inbox.post(EngineOrderEnded {engine->id, engine->target, 0});
     }
     m_dispatches.clear();
     m_calls.clear();
@@ -137,7 +137,7 @@
 {
     const DispatchId id = order.dispatch;
     if (m_dispatches.size() >= m_options.maximumDispatches || m_dispatches.contains(id)) {
-        m_inbox.give(Dispatch::neverBegun(order));
+        m_inbox.post(Dispatch::neverBegun(order));
         return;
     }
     LoopContext &self = *this;
@@ -154,7 +154,7 @@
 void TransferLoop::take(const EngineOrder &order)
 {
     if (!hasCallRoom() || now() > order.notAfter) {
-        m_inbox.give(EngineOrderEnded {order.id, order.target, 0});
+        m_inbox.post(EngineOrderEnded {order.id, order.target, 0});
         return;
     }
     HttpRequest request = engineRequest(order.address, "POST", "/v1/orders");
@@ -164,7 +164,7 @@
     request.body = std::make_shared<const std::string>(orderDocument(order));
     call(std::move(request), order.notAfter,
          [this, id = order.id, target = order.target](int status, const std::string &) {
-             m_inbox.give(EngineOrderEnded {id, target, status});
+             m_inbox.post(EngineOrderEnded {id, target, status});
          });
 }
 
@@ -187,7 +187,7 @@
                  if (Result<LoadReport, DocumentError> parsed = parseLoad(target, body))
                      report = parsed.value();
              }
-             m_inbox.tryGive(report);
+             m_inbox.tryPost(report);
          });
 }
 
@@ -201,7 +201,7 @@
                  return;
              Result<std::vector<CacheEvent>, DocumentError> events = parseCacheEvents(body, after);
              if (events && !events.value().empty())
-                 m_inbox.tryGive(CacheEvents {target, std::move(events).value()});
+                 m_inbox.tryPost(CacheEvents {target, std::move(events).value()});
          });
 }
 
--- a/packages/target/apricothook/target/internal/apricothook_transfer_loop.hpp
+++ b/packages/target/apricothook/target/internal/apricothook_transfer_loop.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <apricothook/ports/apricothook_bounded_ring.hpp>
+#include <apricothook/ports/apricothook_bounded_queue.hpp>
 #include <apricothook/ports/apricothook_target_order.hpp>
 #include <apricothook/target/internal/apricothook_activity.hpp>
 #include <apricothook/target/internal/apricothook_curl_handles.hpp>
@@ -23,7 +23,7 @@
 {
 public:
     TransferLoop(CoreInbox &inbox, const Clock &clock, TargetOptions options,
-                 BoundedRing<TargetOrder> &ring, std::shared_ptr<LoopWaker> waker);
+                 BoundedQueue<TargetOrder> &ring, std::shared_ptr<LoopWaker> waker);
     ~TransferLoop() override;
 
     /** Returns when the waker is stopped, with everything ended. */
@@ -58,7 +58,7 @@
     CoreInbox &m_inbox;
     const Clock &m_clock;
     const TargetOptions m_options;
-    BoundedRing<TargetOrder> &m_ring;
+    BoundedQueue<TargetOrder> &m_ring;
     std::shared_ptr<LoopWaker> m_waker;
     MultiHandle m_multi;
     // After m_multi: their transfers leave it before it goes.
--- a/packages/target/tests/apricothook_not_run_tests.cpp
+++ b/packages/target/tests/apricothook_not_run_tests.cpp
@@ -39,7 +39,7 @@
             [&log](ScriptedConnection &connection, int) { log.add(connection.readRequest()); });
         TargetBench bench;
         JumpingClock clock;
-        GatheringInbox inbox;
+        RecordingInbox inbox;
         TargetClient client(inbox, clock);
         DispatchOrder order = bench.order(target.address());
         order.deadlines.connect = std::chrono::hours(1);
--- a/packages/target/tests/apricothook_target_bench.hpp
+++ b/packages/target/tests/apricothook_target_bench.hpp
@@ -1,8 +1,8 @@
 #pragma once
 
 #include <apricothook/target/apricothook_target_client.hpp>
-#include <apricothook/testsupport/apricothook_gathering_inbox.hpp>
-#include <apricothook/testsupport/apricothook_hand_clock.hpp>
+#include <apricothook/testsupport/apricothook_manual_clock.hpp>
+#include <apricothook/testsupport/apricothook_recording_inbox.hpp>
 #include <apricothook/testsupport/apricothook_wait_until.hpp>
 
 #include <doctest/doctest.h>
@@ -75,8 +75,8 @@
         return waitUntil([&] { return order.answer->written() >= bytes; });
     }
 
-    HandClock clock;
-    GatheringInbox inbox;
+    ManualClock clock;
+    RecordingInbox inbox;
     std::uint64_t lastDispatch = 0;
     TargetClient client;
 };
--- a/packages/testsupport/apricothook/testsupport/apricothook_repeatable_random.hpp
+++ b/packages/testsupport/apricothook/testsupport/apricothook_deterministic_random.hpp
@@ -5,10 +5,10 @@
 namespace Apricothook {
 
 /** SplitMix64: repeatable from its seed. */
-class RepeatableRandom : public RandomSource
+class DeterministicRandom : public RandomSource
 {
 public:
-    explicit RepeatableRandom(std::uint64_t seed = 1) : m_state(seed) { }
+    explicit DeterministicRandom(std::uint64_t seed = 1) : m_state(seed) { }
     std::uint64_t next() override
     {
         std::uint64_t z = (m_state += 0x9E3779B97F4A7C15ULL);
--- a/packages/testsupport/apricothook/testsupport/apricothook_fake_members.hpp
+++ b/packages/testsupport/apricothook/testsupport/apricothook_fake_member_view.hpp
@@ -8,34 +8,35 @@
 namespace Apricothook::Testing {
 
 /** Members with addresses left out; `dead` are those that this daemon believes dead. */
-class FakeMembers : public MemberView
+class FakeMemberView : public MemberView
 {
 public:
-    explicit FakeMembers(MemberLife self, const std::vector<std::string> &others = {})
+    explicit FakeMemberView(MemberInstance self, const std::vector<std::string> &others = {})
         : m_self(std::move(self))
     {
         add(m_self);
         for (const std::string &other : others)
             add({MemberId(other), Incarnation(1)});
     }
-    void add(const MemberLife &life)
+    void add(const MemberInstance &life)
     {
         remove(life.member);
         MemberUpdate update;
-        update.life = life;
+        update.instance = life;
         m_live.push_back(update);
     }
     void remove(const MemberId &member)
     {
-        std::erase_if(
-            m_live, [&member](const MemberUpdate &update) { return update.life.member == member; });
+        std::erase_if(m_live, [&member](const MemberUpdate &update) {
+            return update.instance.member == member;
+        });
     }
-    const MemberLife &self() const override { return m_self; }
+    const MemberInstance &self() const override { return m_self; }
     const std::vector<MemberUpdate> &live() const override { return m_live; }
     std::optional<MemberUpdate> find(const MemberId &member) const override
     {
         for (const MemberUpdate &update : m_live) {
-            if (update.life.member == member)
+            if (update.instance.member == member)
                 return update;
         }
         return std::nullopt;
@@ -46,7 +47,7 @@
     double share = 1;
 
 private:
-    MemberLife m_self;
+    MemberInstance m_self;
     std::vector<MemberUpdate> m_live;
 };
 
--- a/packages/testsupport/apricothook/testsupport/apricothook_hand_clock.hpp
+++ b/packages/testsupport/apricothook/testsupport/apricothook_manual_clock.hpp
@@ -7,7 +7,7 @@
 namespace Apricothook {
 
 /** Stands still unless the test moves it; may be read by other threads. */
-class HandClock : public Clock
+class ManualClock : public Clock
 {
 public:
     /** Not zero at its start, so that a time left at its default is told apart. */
--- a/packages/testsupport/apricothook/testsupport/apricothook_numbered_events.hpp
+++ b/packages/testsupport/apricothook/testsupport/apricothook_recording_event_sink.hpp
@@ -9,7 +9,7 @@
 namespace Apricothook {
 
 /** Keeps the numbers of the events of all threads, in the order of their arrival. */
-class NumberedEvents : public EventSink
+class RecordingEventSink : public EventSink
 {
 public:
     void record(const DecisionEvent &event) override
--- a/packages/testsupport/apricothook/testsupport/apricothook_gathering_inbox.hpp
+++ b/packages/testsupport/apricothook/testsupport/apricothook_recording_inbox.hpp
@@ -11,15 +11,15 @@
 
 /** In the core's place: keeps what adapters give, and waits a bounded time for what a test needs.
  */
-class GatheringInbox : public CoreInbox
+class RecordingInbox : public CoreInbox
 {
 public:
-    bool tryGive(CoreEvent event) override
+    bool tryPost(CoreEvent event) override
     {
-        give(std::move(event));
+        post(std::move(event));
         return true;
     }
-    void give(CoreEvent event) override
+    void post(CoreEvent event) override
     {
         const std::lock_guard lock(m_mutex);
         m_events.push_back(std::move(event));
--- a/packages/text/apricothook/text/apricothook_fleet_text_parser.hpp
+++ b/packages/text/apricothook/text/apricothook_fleet_text_parser.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
-#include <apricothook/model/apricothook_failure.hpp>
 #include <apricothook/model/apricothook_fleet_text.hpp>
+#include <apricothook/model/apricothook_result.hpp>
 #include <apricothook/text/apricothook_text_error.hpp>
 
 #include <string_view>
--- a/packages/text/apricothook/text/apricothook_text_file.hpp
+++ b/packages/text/apricothook/text/apricothook_text_file.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <apricothook/model/apricothook_failure.hpp>
+#include <apricothook/model/apricothook_result.hpp>
 
 #include <string>
 #include <string_view>
--- a/packages/text/apricothook/text/internal/apricothook_text_document.hpp
+++ b/packages/text/apricothook/text/internal/apricothook_text_document.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <apricothook/model/apricothook_failure.hpp>
+#include <apricothook/model/apricothook_result.hpp>
 #include <apricothook/text/apricothook_text_error.hpp>
 
 #include <json/value.h>
