--- a/packages/dispatch/apricothook/dispatch/apricothook_customer_rate_limiter.hpp
+++ b/packages/dispatch/apricothook/dispatch/apricothook_customer_rate_limiter.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <apricothook/dispatch/apricothook_grantor_role.hpp>
-#include <apricothook/dispatch/apricothook_unit_stock.hpp>
+#include <apricothook/dispatch/apricothook_local_units.hpp>
 #include <apricothook/model/apricothook_identifiers.hpp>
 
 #include <map>
--- a/packages/dispatch/apricothook/dispatch/apricothook_grantor_order.cpp
+++ b/packages/dispatch/apricothook/dispatch/apricothook_grantor_ranking.cpp
@@ -1,4 +1,4 @@
-#include <apricothook/dispatch/apricothook_grantor_order.hpp>
+#include <apricothook/dispatch/apricothook_grantor_ranking.hpp>
 
 #include <apricothook/model/apricothook_hashing.hpp>
 
--- a/packages/dispatch/apricothook/dispatch/apricothook_grantor_role.hpp
+++ b/packages/dispatch/apricothook/dispatch/apricothook_grantor_role.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <apricothook/dispatch/apricothook_grantor_order.hpp>
+#include <apricothook/dispatch/apricothook_grantor_ranking.hpp>
 #include <apricothook/dispatch/apricothook_unit_bucket.hpp>
 
 #include <deque>
--- a/packages/dispatch/apricothook/dispatch/apricothook_unit_stock.cpp
+++ b/packages/dispatch/apricothook/dispatch/apricothook_local_units.cpp
@@ -1,4 +1,4 @@
-#include <apricothook/dispatch/apricothook_unit_stock.hpp>
+#include <apricothook/dispatch/apricothook_local_units.hpp>
 
 #include <algorithm>
 #include <cmath>
--- a/packages/dispatch/apricothook/dispatch/apricothook_route_urgency.hpp
+++ b/packages/dispatch/apricothook/dispatch/apricothook_route_urgency.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
+#include <apricothook/dispatch/apricothook_route_value_ranking.hpp>
 #include <apricothook/dispatch/apricothook_serving_configuration.hpp>
-#include <apricothook/dispatch/apricothook_worth_order.hpp>
 
 #include <map>
 
--- a/packages/dispatch/apricothook/dispatch/apricothook_worth_order.cpp
+++ b/packages/dispatch/apricothook/dispatch/apricothook_route_value_ranking.cpp
@@ -1,4 +1,4 @@
-#include <apricothook/dispatch/apricothook_worth_order.hpp>
+#include <apricothook/dispatch/apricothook_route_value_ranking.hpp>
 
 #include <algorithm>
 #include <cmath>
