--- a/packages/dispatch/apricothook/dispatch/apricothook_cold_target_limiter.cpp
+++ b/packages/dispatch/apricothook/dispatch/apricothook_cold_target_limiter.cpp
@@ -24,7 +24,7 @@
 }
 
 ColdTargetLimiter::ColdTargetLimiter(std::uint64_t self, const FleetBounds &bounds)
-    : m_self(self), m_bounds(bounds), m_fleet {{self}, ColdView::Main}
+    : m_self(self), m_bounds(bounds), m_senders {{self}, ColdView::Main}
 {
 }
 
@@ -36,44 +36,44 @@
             continue;
         const double bound = service.coldPerSecond * m_bounds.coldOvershoot + m_bounds.coldSlack;
         constexpr double Largest = std::numeric_limits<std::int32_t>::max();
-        const double most = std::min({service.coldPerSecond, bound / Senders, Largest});
-        m_rules[service.name] = {service.coldTime, static_cast<std::uint32_t>(most)};
+        const double perDaemon = std::min({service.coldPerSecond, bound / MaximumSenders, Largest});
+        m_rules[service.name] = {service.coldTime, static_cast<std::uint32_t>(perDaemon)};
     }
 }
 
-bool ColdTargetLimiter::setFleet(ColdTargetSenders fleet)
+bool ColdTargetLimiter::setSenders(ColdTargetSenders fleet)
 {
-    if (fleet == m_fleet)
+    if (fleet == m_senders)
         return false;
-    m_fleet = std::move(fleet);
+    m_senders = std::move(fleet);
     return true;
 }
 
-std::uint32_t ColdTargetLimiter::before(std::uint64_t target) const
+std::uint32_t ColdTargetLimiter::rankOf(std::uint64_t target) const
 {
     const auto weight = [target](std::uint64_t member) {
         return std::pair(rendezvousWeight(target, member), member);
     };
     return static_cast<std::uint32_t>(std::ranges::count_if(
-        m_fleet.members, [&](std::uint64_t member) { return weight(member) > weight(m_self); }));
+        m_senders.members, [&](std::uint64_t member) { return weight(member) > weight(m_self); }));
 }
 
-std::uint32_t ColdTargetLimiter::mostInSecond(const ServiceId &service, std::uint64_t target,
-                                              bool isCold) const
+std::uint32_t ColdTargetLimiter::sendsPerSecond(const ServiceId &service, std::uint64_t target,
+                                                bool isCold) const
 {
     const Rule *rule = ruleOf(service);
-    if (!rule || (!isCold && !doubtsAll()))
+    if (!rule || (!isCold && !treatsAllAsCold()))
         return Unlimited;
-    switch (m_fleet.view) {
+    switch (m_senders.view) {
     case ColdView::Alone:
     case ColdView::Outside:
         return 0;
     case ColdView::Doubtful:
-        return before(target) < rule->mostInSecond ? 1 : 0;
+        return rankOf(target) < rule->sendsPerSecond ? 1 : 0;
     case ColdView::Main:
         break;
     }
-    return before(target) == 0 ? rule->mostInSecond : 0;
+    return rankOf(target) == 0 ? rule->sendsPerSecond : 0;
 }
 
 const ColdTargetLimiter::Rule *ColdTargetLimiter::ruleOf(const ServiceId &service) const
@@ -88,7 +88,7 @@
     return rule ? rule->coldTime : Duration::zero();
 }
 
-bool ColdTargetLimiter::isBounded(const ServiceId &service) const
+bool ColdTargetLimiter::isLimited(const ServiceId &service) const
 {
     return ruleOf(service) != nullptr;
 }
--- a/packages/dispatch/apricothook/dispatch/apricothook_customer_budget.cpp
+++ b/packages/dispatch/apricothook/dispatch/apricothook_customer_budget.cpp
@@ -8,12 +8,18 @@
 
 namespace {
 
-/** Parts of what the overshoot adds to the rate in a window. */
-constexpr double GrantLifePart = 0.25;
-/** Credit is used at once and refilled in a window, so its part counts twice. */
-constexpr double CreditPart = 0.25;
-/** Granted ahead for longer, units are kept from the daemons whose callers come first. */
-constexpr std::chrono::milliseconds LongestGrantLife {500};
+/** Fractions of the units that the overshoot adds to the rate within a window. */
+constexpr double GrantLifetimeFraction = 0.25;
+/**
+ * The credit can be used at once and again while it refills within the window, so its fraction
+ * counts twice.
+ */
+constexpr double CreditFraction = 0.25;
+/**
+ * With a longer life, prefetched units would stay unused while requests at other daemons wait for
+ * them.
+ */
+constexpr std::chrono::milliseconds LongestGrantLifetime {500};
 
 } // namespace
 
@@ -22,15 +28,15 @@
     const double window = std::chrono::duration<double>(bounds.customerWindow).count();
     const double rate = customer.ratePerSecond;
     const double spareSeconds = window * bounds.customerOvershoot;
-    const auto life = std::chrono::duration_cast<Duration>(
-        std::chrono::duration<double>(GrantLifePart * spareSeconds));
-    const double credit = CreditPart * spareSeconds * rate;
+    const auto lifetime = std::chrono::duration_cast<Duration>(
+        std::chrono::duration<double>(GrantLifetimeFraction * spareSeconds));
+    const double credit = CreditFraction * spareSeconds * rate;
     return {
         .perSecond = rate,
         .bucket = customer.burst * (1 + bounds.customerOvershoot) + bounds.customerSlack,
         .credit = credit,
         .creditPerSecond = window > 0 ? credit / window : 0,
-        .grantLife = std::min<Duration>(life, LongestGrantLife),
+        .grantLifetime = std::min<Duration>(lifetime, LongestGrantLifetime),
     };
 }
 
--- a/packages/dispatch/apricothook/dispatch/apricothook_customer_budget.hpp
+++ b/packages/dispatch/apricothook/dispatch/apricothook_customer_budget.hpp
@@ -5,39 +5,43 @@
 namespace Apricothook {
 
 /**
- * How what a customer may have at most in a window is divided; all in units of its limit.
+ * Splits the units that a customer may use within a window; all values are in units of its limit.
  *
- * The bound of a window is what the rate and the burst give, times one and the overshoot, plus the
- * slack. One bucket of the whole fleet, refilled at the plain rate, gives out `perSecond` times the
- * window and `bucket` in any window. What the overshoot adds to the rate is left, and pays for what
- * a bucket that several daemons use can't see: a quarter for units that were granted and are used
- * later, a quarter for two daemons that both grant for a moment, half for daemons that reach no
- * grantor. Each has its cap in time or in units, so the sum stays within the bound.
+ * The limit of a window is what rate and burst allow, multiplied by one plus the overshoot, plus
+ * the slack. A single bucket for the whole fleet, refilled at the plain rate, grants at most
+ * `perSecond` times the window plus `bucket` in any window. The remainder, which the overshoot adds
+ * to the rate, covers what a bucket used by several daemons can't track: a quarter for units that
+ * are granted and used later, a quarter for two daemons that grant at the same time for a moment,
+ * and half for daemons that reach no grantor. Each of these is capped in time or in units, so the
+ * sum stays within the limit.
  */
 struct CustomerBudget
 {
     double perSecond = 0;
-    /** Most that the bucket holds. */
+    /** Capacity of the bucket. */
     double bucket = 0;
-    /** Most that all daemons together admit without a grantor, at once and once more a window. */
+    /**
+     * Units that all daemons together may admit without a grantor: this many at once, and as many
+     * again per window.
+     */
     double credit = 0;
     double creditPerSecond = 0;
-    /** Granted units are void after so long. */
-    Duration grantLife {};
+    /** Time after which granted units expire. */
+    Duration grantLifetime {};
 
     auto operator<=>(const CustomerBudget &) const = default;
 };
 
 CustomerBudget budgetOf(const CustomerRule &customer, const FleetBounds &bounds);
 
-/** A short name of a customer for messages between daemons. */
+/** Hash of a customer's name, for messages between daemons. */
 std::uint64_t customerHash(const CustomerId &customer);
 
-/** What a request asks of its customer's limit. */
+/** What a request needs of its customer's limit. */
 struct UnitDemand
 {
     double units = 0;
-    /** Part of the bucket that it must leave to others, 0 to 1. */
+    /** Fraction of the bucket that the request must leave to others, 0 to 1. */
     double reservedFraction = 0;
 
     auto operator<=>(const UnitDemand &) const = default;
--- a/packages/dispatch/apricothook/dispatch/apricothook_customer_rate_limiter.cpp
+++ b/packages/dispatch/apricothook/dispatch/apricothook_customer_rate_limiter.cpp
@@ -8,12 +8,15 @@
 namespace {
 
 constexpr double Thousandths = 1000;
-/** Unanswered questions in a row that aren't taken for lost datagrams. */
-constexpr unsigned MissesByChance = 2;
-/** When a caller that found no grantor may find one: fleets know themselves again by then. */
-constexpr std::chrono::milliseconds NobodyRetryAfter {500};
+/** Consecutive timeouts that are attributed to lost datagrams. */
+constexpr unsigned ToleratedTimeouts = 2;
+/**
+ * Delay before a caller that found no grantor retries: by then the members of a fleet have usually
+ * discovered each other again.
+ */
+constexpr std::chrono::milliseconds NoGrantorRetryAfter {500};
 
-std::uint64_t whole(double units)
+std::uint64_t wholeUnits(double units)
 {
     return static_cast<std::uint64_t>(std::max(units, 0.0));
 }
@@ -46,79 +49,81 @@
     , m_listener(listener)
     , m_random(random)
     , m_grantor(std::move(self), messenger, grantorListener, random)
-    , m_lastAsk(random.next())
+    , m_lastRequestId(random.next())
 {
 }
 
 void CustomerRateLimiter::setCustomers(const std::vector<CustomerRule> &customers, Instant now)
 {
     m_grantor.setCustomers(customers, m_bounds, now);
-    m_grantor.review(m_isComplete, now);
+    m_grantor.review(m_isFleetKnown, now);
 }
 
 void CustomerRateLimiter::setFleet(const FleetMembership &fleet, Instant now)
 {
-    m_known = fleet.known;
-    m_isComplete = fleet.isComplete;
+    m_knownMembers = fleet.known;
+    m_isFleetKnown = fleet.isComplete;
     m_grantor.setMembers(fleet.members, fleet.startedTogether);
-    m_grantor.review(m_isComplete, now);
+    m_grantor.review(m_isFleetKnown, now);
 }
 
 std::optional<LimitDecision> CustomerRateLimiter::take(ExchangeId exchange,
                                                        const CustomerRule &customer,
-                                                       const UnitDemand &claim, Instant now)
+                                                       const UnitDemand &demand, Instant now)
 {
-    Waiting waiting;
+    WaitingRequest waiting;
     waiting.exchange = exchange;
     waiting.customer = customerHash(customer.name);
     waiting.budget = budgetOf(customer, m_bounds);
-    waiting.claim = claim;
-    waiting.since = now;
+    waiting.demand = demand;
+    waiting.waitingSince = now;
     if (customer.ratePerSecond <= 0)
-        return verdict(waiting, LimitSource::Unlimited, true, now);
+        return makeDecision(waiting, LimitSource::Unlimited, true, now);
     Account &account = m_accounts[waiting.customer];
-    account.grantLife = waiting.budget.grantLife;
-    if (account.stock.tryTake(claim.units, now)) {
-        account.stock.noteAdmitted(claim.units, now);
-        askAhead(waiting.customer, account, waiting.budget, now);
-        return verdict(waiting, LimitSource::Stock, true, now);
+    account.grantLifetime = waiting.budget.grantLifetime;
+    if (account.units.tryTake(demand.units, now)) {
+        account.units.recordAdmitted(demand.units, now);
+        prefetch(waiting.customer, account, waiting.budget, now);
+        return makeDecision(waiting, LimitSource::Stock, true, now);
     }
     if (m_grantor.isGrantor(waiting.customer))
-        return decideHere(waiting, now);
-    // A daemon that has just started knows nobody to ask, and can't tell how long it will last.
-    if (!m_isComplete && !chooseGrantor(waiting, now)) {
-        LimitDecision refused = verdict(waiting, LimitSource::Nobody, false, now);
-        refused.retryAfter = NobodyRetryAfter;
+        return decideLocally(waiting, now);
+    // A daemon that has just started knows no member to ask and can't tell how long that will last.
+    if (!m_isFleetKnown && !chooseGrantor(waiting, now)) {
+        LimitDecision refused = makeDecision(waiting, LimitSource::Nobody, false, now);
+        refused.retryAfter = NoGrantorRetryAfter;
         return refused;
     }
     m_waiting.push_back(std::move(waiting));
-    ask(m_waiting.back(), now);
+    query(m_waiting.back(), now);
     return std::nullopt;
 }
 
-LimitDecision CustomerRateLimiter::decideHere(Waiting &waiting, Instant now)
+LimitDecision CustomerRateLimiter::decideLocally(WaitingRequest &waiting, Instant now)
 {
-    waiting.asked = m_self;
-    const UnitsReply answer
-        = m_grantor.answer(question(0, waiting.customer, waiting.claim, 0), now);
-    return grantorVerdict(waiting, answer, answer.outcome == UnitsOutcome::Granted, now);
+    waiting.queriedPeer = m_self;
+    const UnitsReply reply
+        = m_grantor.answer(makeUnitsRequest(0, waiting.customer, waiting.demand, 0), now);
+    return grantorDecision(waiting, reply, reply.outcome == UnitsOutcome::Granted, now);
 }
 
-LimitDecision CustomerRateLimiter::grantorVerdict(const Waiting &waiting, const UnitsReply &answer,
-                                                  bool isAdmitted, Instant now) const
+LimitDecision CustomerRateLimiter::grantorDecision(const WaitingRequest &waiting,
+                                                   const UnitsReply &reply, bool isAdmitted,
+                                                   Instant now) const
 {
-    LimitDecision decided = verdict(waiting, LimitSource::Grantor, isAdmitted, now);
-    decided.level = static_cast<double>(answer.level);
-    decided.bucket = static_cast<double>(answer.bucket);
-    decided.perSecond = static_cast<double>(answer.perSecond);
-    decided.retryAfter = std::chrono::milliseconds(answer.waitMs);
+    LimitDecision decided = makeDecision(waiting, LimitSource::Grantor, isAdmitted, now);
+    decided.level = static_cast<double>(reply.level);
+    decided.bucket = static_cast<double>(reply.bucket);
+    decided.perSecond = static_cast<double>(reply.perSecond);
+    decided.retryAfter = std::chrono::milliseconds(reply.waitMs);
     return decided;
 }
 
 void CustomerRateLimiter::cancel(ExchangeId exchange)
 {
-    std::erase_if(m_waiting,
-                  [exchange](const Waiting &waiting) { return waiting.exchange == exchange; });
+    std::erase_if(m_waiting, [exchange](const WaitingRequest &waiting) {
+        return waiting.exchange == exchange;
+    });
 }
 
 bool CustomerRateLimiter::isSilent(std::uint64_t member, Instant now) const
@@ -127,202 +132,210 @@
     return peer != m_peers.end() && peer->second.silentUntil > now;
 }
 
-std::optional<LimitPeer> CustomerRateLimiter::chooseGrantor(const Waiting &waiting,
+std::optional<LimitPeer> CustomerRateLimiter::chooseGrantor(const WaitingRequest &waiting,
                                                             Instant now) const
 {
-    const auto mayBeAsked = [&](const LimitPeer &peer) {
+    const auto mayBeQueried = [&](const LimitPeer &peer) {
         return peer.member != 0 && peer.member != m_self.member && !isSilent(peer.member, now)
-            && !waiting.notThere.contains(peer.member);
+            && !waiting.notGrantors.contains(peer.member);
     };
     const auto account = m_accounts.find(waiting.customer);
-    if (account != m_accounts.end() && mayBeAsked(account->second.grantor))
+    if (account != m_accounts.end() && mayBeQueried(account->second.grantor))
         return account->second.grantor;
-    if (waiting.named && mayBeAsked(*waiting.named))
-        return waiting.named;
-    std::vector<LimitPeer> ranks = m_grantor.order().ranks(waiting.customer);
-    // Those after them don't take the customer over.
-    ranks.resize(std::min(ranks.size(), GrantorOrder::MostAskedToHandOver));
-    const auto next = std::ranges::find_if(ranks, mayBeAsked);
+    if (waiting.suggestedGrantor && mayBeQueried(*waiting.suggestedGrantor))
+        return waiting.suggestedGrantor;
+    std::vector<LimitPeer> ranks = m_grantor.ranking().ranked(waiting.customer);
+    // Daemons that rank lower don't take over the customer.
+    ranks.resize(std::min(ranks.size(), GrantorRanking::MaximumClaimReceivers));
+    const auto next = std::ranges::find_if(ranks, mayBeQueried);
     return next == ranks.end() ? std::nullopt : std::optional(*next);
 }
 
-UnitsRequest CustomerRateLimiter::question(std::uint64_t ask, std::uint64_t customer,
-                                           const UnitDemand &claim, double ahead) const
+UnitsRequest CustomerRateLimiter::makeUnitsRequest(std::uint64_t requestId, std::uint64_t customer,
+                                                   const UnitDemand &demand,
+                                                   double prefetched) const
 {
     return {
         .sender = m_self,
-        .requestId = ask,
+        .requestId = requestId,
         .customer = customer,
-        .units = whole(claim.units),
-        .prefetch = whole(ahead),
+        .units = wholeUnits(demand.units),
+        .prefetch = wholeUnits(prefetched),
         .reservedThousandths
-        = static_cast<std::uint32_t>(whole(claim.reservedFraction * Thousandths)),
+        = static_cast<std::uint32_t>(wholeUnits(demand.reservedFraction * Thousandths)),
         .firstIsSilent = false,
     };
 }
 
-double CustomerRateLimiter::ahead(Account &account, const CustomerBudget &budget, Instant now) const
+double CustomerRateLimiter::prefetchUnits(Account &account, const CustomerBudget &budget,
+                                          Instant now) const
 {
-    const auto time = std::chrono::duration_cast<Duration>(budget.grantLife * AheadPart);
-    return account.stock.expected(time, now);
+    const auto time = std::chrono::duration_cast<Duration>(budget.grantLifetime * PrefetchFraction);
+    return account.units.expectedDemand(time, now);
 }
 
-void CustomerRateLimiter::ask(Waiting &waiting, Instant now)
+void CustomerRateLimiter::query(WaitingRequest &waiting, Instant now)
 {
-    waiting.ask = 0;
+    waiting.requestId = 0;
     const std::optional<LimitPeer> peer = chooseGrantor(waiting, now);
     if (!peer) {
-        waiting.notThere.clear();
-        waiting.due = now + SoonPause;
+        waiting.notGrantors.clear();
+        waiting.nextAction = now + PendingPause;
         return;
     }
     Account &account = m_accounts[waiting.customer];
-    const double expected = ahead(account, waiting.budget, now);
-    // Where the next request isn't expected within a grant's life, its units would be void.
-    const double wanted = expected >= waiting.claim.units ? expected : 0;
-    UnitsRequest question = this->question(++m_lastAsk, waiting.customer, waiting.claim, wanted);
-    const LimitPeer *first = m_grantor.order().first(waiting.customer);
-    question.firstIsSilent = first && isSilent(first->member, now);
-    waiting.ask = question.requestId;
-    waiting.asked = *peer;
-    waiting.sent = now;
-    waiting.due = now + AnswerTime;
-    ++waiting.asks;
-    m_messenger.send(peer->address, question);
+    const double expected = prefetchUnits(account, waiting.budget, now);
+    // If the next request isn't expected within a grant's life, its units would expire unused.
+    const double wanted = expected >= waiting.demand.units ? expected : 0;
+    UnitsRequest request
+        = this->makeUnitsRequest(++m_lastRequestId, waiting.customer, waiting.demand, wanted);
+    const LimitPeer *first = m_grantor.ranking().highestRanked(waiting.customer);
+    request.firstIsSilent = first && isSilent(first->member, now);
+    waiting.requestId = request.requestId;
+    waiting.queriedPeer = *peer;
+    waiting.querySent = now;
+    waiting.nextAction = now + AnswerTime;
+    ++waiting.queries;
+    m_messenger.send(peer->address, request);
 }
 
-void CustomerRateLimiter::askNext(Waiting &waiting, Instant now)
+void CustomerRateLimiter::queryNext(WaitingRequest &waiting, Instant now)
 {
     const bool hasNext = chooseGrantor(waiting, now).has_value();
-    if (m_isComplete || hasNext)
-        ask(waiting, now);
+    if (m_isFleetKnown || hasNext)
+        query(waiting, now);
     else
-        waiting.due = now;
+        waiting.nextAction = now;
 }
 
-void CustomerRateLimiter::askAhead(std::uint64_t customer, Account &account,
+void CustomerRateLimiter::prefetch(std::uint64_t customer, Account &account,
                                    const CustomerBudget &budget, Instant now)
 {
-    const double expected = ahead(account, budget, now);
-    const double held = account.stock.granted(now);
-    // Asked for when half is used up, so that the answer is there in time.
-    const bool isLow = held < expected / 2;
+    const double expected = prefetchUnits(account, budget, now);
+    const double available = account.units.granted(now);
+    // Requested when half of the units are used, so that the answer arrives in time.
+    const bool isLow = available < expected / 2;
     const LimitPeer &grantor = account.grantor;
-    if (!isLow || now - account.aheadSent < AnswerTime || grantor.member == 0
+    if (!isLow || now - account.prefetchSent < AnswerTime || grantor.member == 0
         || isSilent(grantor.member, now))
         return;
-    account.aheadSent = now;
-    std::erase_if(m_aheadAsks,
-                  [now](const auto &open) { return now - open.second.sent > LongestAsk; });
-    m_aheadAsks[++m_lastAsk] = {customer, now};
-    m_messenger.send(grantor.address, question(m_lastAsk, customer, {}, expected - held));
+    account.prefetchSent = now;
+    std::erase_if(m_prefetches,
+                  [now](const auto &open) { return now - open.second.sent > LongestWait; });
+    m_prefetches[++m_lastRequestId] = {customer, now};
+    m_messenger.send(grantor.address,
+                     makeUnitsRequest(m_lastRequestId, customer, {}, expected - available));
 }
 
-bool CustomerRateLimiter::takeAhead(const UnitsReply &answer, Instant now)
+bool CustomerRateLimiter::takePrefetch(const UnitsReply &reply, Instant now)
 {
-    const auto open = m_aheadAsks.find(answer.requestId);
-    if (open == m_aheadAsks.end())
+    const auto open = m_prefetches.find(reply.requestId);
+    if (open == m_prefetches.end())
         return false;
     Account &account = m_accounts[open->second.customer];
-    const Instant until = open->second.sent + account.grantLife;
-    if (answer.units > 0 && until > now)
-        account.stock.add(static_cast<double>(answer.units), until);
-    m_aheadAsks.erase(open);
+    const Instant until = open->second.sent + account.grantLifetime;
+    if (reply.units > 0 && until > now)
+        account.units.add(static_cast<double>(reply.units), until);
+    m_prefetches.erase(open);
     return true;
 }
 
-void CustomerRateLimiter::take(const UnitsRequest &ask, Instant now)
+void CustomerRateLimiter::take(const UnitsRequest &request, Instant now)
 {
-    m_messenger.send(ask.sender.address, m_grantor.answer(ask, now));
+    m_messenger.send(request.sender.address, m_grantor.answer(request, now));
 }
 
-void CustomerRateLimiter::take(const UnitsReply &answer, Instant now)
+void CustomerRateLimiter::take(const UnitsReply &reply, Instant now)
 {
-    m_peers.erase(answer.member);
-    if (takeAhead(answer, now))
+    m_peers.erase(reply.member);
+    if (takePrefetch(reply, now))
         return;
-    const auto found = std::ranges::find(m_waiting, answer.requestId, &Waiting::ask);
-    // Whoever waited for a late answer has gone on without it; its units are lost.
-    if (found == m_waiting.end() || answer.requestId == 0 || found->asked.member != answer.member)
+    const auto found = std::ranges::find(m_waiting, reply.requestId, &WaitingRequest::requestId);
+    // The request that a late answer belongs to has already been decided or asked elsewhere; the
+    // units are lost.
+    if (found == m_waiting.end() || reply.requestId == 0
+        || found->queriedPeer.member != reply.member)
         return;
-    Waiting &waiting = *found;
-    waiting.ask = 0;
+    WaitingRequest &waiting = *found;
+    waiting.requestId = 0;
     Account &account = m_accounts[waiting.customer];
-    switch (answer.outcome) {
+    switch (reply.outcome) {
     case UnitsOutcome::NotGrantor:
-        waiting.notThere.insert(answer.member);
-        waiting.named.reset();
-        if (!answer.grantor.address.address.empty())
-            waiting.named = answer.grantor;
-        if (account.grantor.member == answer.member)
+        waiting.notGrantors.insert(reply.member);
+        waiting.suggestedGrantor.reset();
+        if (!reply.grantor.address.address.empty())
+            waiting.suggestedGrantor = reply.grantor;
+        if (account.grantor.member == reply.member)
             account.grantor = {};
-        askNext(waiting, now);
+        queryNext(waiting, now);
         return;
     case UnitsOutcome::Pending:
-        waiting.due = now + (m_isComplete ? Duration(SoonPause) : Duration::zero());
+        waiting.nextAction = now + (m_isFleetKnown ? Duration(PendingPause) : Duration::zero());
         return;
     case UnitsOutcome::Granted:
     case UnitsOutcome::Refused:
         break;
     }
-    account.grantor = waiting.asked;
-    const bool isGranted = answer.outcome == UnitsOutcome::Granted
-        && static_cast<double>(answer.units) >= waiting.claim.units;
-    const double ahead = static_cast<double>(answer.units) - (isGranted ? waiting.claim.units : 0);
-    if (ahead > 0)
-        account.stock.add(ahead, waiting.sent + account.grantLife);
-    const bool isAdmitted = isGranted || account.stock.tryTake(waiting.claim.units, now);
+    account.grantor = waiting.queriedPeer;
+    const bool isGranted = reply.outcome == UnitsOutcome::Granted
+        && static_cast<double>(reply.units) >= waiting.demand.units;
+    const double prefetched
+        = static_cast<double>(reply.units) - (isGranted ? waiting.demand.units : 0);
+    if (prefetched > 0)
+        account.units.add(prefetched, waiting.querySent + account.grantLifetime);
+    const bool isAdmitted = isGranted || account.units.tryTake(waiting.demand.units, now);
     if (isAdmitted)
-        account.stock.noteAdmitted(waiting.claim.units, now);
-    const LimitDecision decided = grantorVerdict(waiting, answer, isAdmitted, now);
+        account.units.recordAdmitted(waiting.demand.units, now);
+    const LimitDecision decided = grantorDecision(waiting, reply, isAdmitted, now);
     const ExchangeId exchange = waiting.exchange;
     m_waiting.erase(found);
     m_listener.onLimitDecided(exchange, decided);
 }
 
-void CustomerRateLimiter::noteMissed(std::uint64_t member, Instant now)
+void CustomerRateLimiter::recordTimeout(std::uint64_t member, Instant now)
 {
-    Peer &peer = m_peers[member];
-    if (++peer.misses > MissesByChance)
-        peer.silentUntil = now + SilenceTime;
+    PeerState &peer = m_peers[member];
+    if (++peer.timeouts > ToleratedTimeouts)
+        peer.silentUntil = now + SilentPeerPause;
 }
 
-std::optional<LimitDecision> CustomerRateLimiter::withoutAnswer(Waiting &waiting, Instant now)
+std::optional<LimitDecision> CustomerRateLimiter::decideWithoutAnswer(WaitingRequest &waiting,
+                                                                      Instant now)
 {
     if (m_grantor.isGrantor(waiting.customer))
-        return decideHere(waiting, now);
+        return decideLocally(waiting, now);
     Account &account = m_accounts[waiting.customer];
-    // Another request's answer may have brought units meanwhile.
-    if (account.stock.tryTake(waiting.claim.units, now))
-        return verdict(waiting, LimitSource::Stock, true, now);
-    const bool hasCredit = m_isComplete
-        && account.stock.tryTakeCredit(waiting.claim.units, waiting.budget, m_known, now);
+    // The answer to another request may have brought units in the meantime.
+    if (account.units.tryTake(waiting.demand.units, now))
+        return makeDecision(waiting, LimitSource::Stock, true, now);
+    const bool hasCredit = m_isFleetKnown
+        && account.units.tryTakeCredit(waiting.demand.units, waiting.budget, m_knownMembers, now);
     if (hasCredit)
-        return verdict(waiting, LimitSource::Credit, true, now);
-    // Where the fleet has just started, whoever was asked knows no more.
-    if (m_isComplete && now - waiting.since < LongestAsk)
+        return makeDecision(waiting, LimitSource::Credit, true, now);
+    // If the fleet has just started, the daemon that was asked has no more information.
+    if (m_isFleetKnown && now - waiting.waitingSince < LongestWait)
         return std::nullopt;
-    LimitDecision decided = verdict(waiting, LimitSource::Nobody, false, now);
-    decided.retryAfter = NobodyRetryAfter;
+    LimitDecision decided = makeDecision(waiting, LimitSource::Nobody, false, now);
+    decided.retryAfter = NoGrantorRetryAfter;
     return decided;
 }
 
-LimitDecision CustomerRateLimiter::verdict(const Waiting &waiting, LimitSource source,
-                                           bool isAdmitted, Instant now) const
+LimitDecision CustomerRateLimiter::makeDecision(const WaitingRequest &waiting, LimitSource source,
+                                                bool isAdmitted, Instant now) const
 {
-    LimitDecision verdict;
-    verdict.isAdmitted = isAdmitted;
-    verdict.source = source;
-    verdict.demand = waiting.claim;
-    verdict.grantor = source == LimitSource::Grantor ? waiting.asked.member : 0;
-    verdict.waited = now - waiting.since;
-    verdict.queries = waiting.asks;
-    return verdict;
+    LimitDecision decision;
+    decision.isAdmitted = isAdmitted;
+    decision.source = source;
+    decision.demand = waiting.demand;
+    decision.grantor = source == LimitSource::Grantor ? waiting.queriedPeer.member : 0;
+    decision.waited = now - waiting.waitingSince;
+    decision.queries = waiting.queries;
+    return decision;
 }
 
 void CustomerRateLimiter::review(Instant now)
 {
-    m_grantor.review(m_isComplete, now);
+    m_grantor.review(m_isFleetKnown, now);
     reviewWaiting(now);
 }
 
@@ -331,30 +344,30 @@
     struct Decided
     {
         ExchangeId exchange;
-        LimitDecision verdict;
+        LimitDecision decision;
     };
     std::vector<Decided> decided;
-    for (Waiting &waiting : m_waiting) {
-        if (waiting.due > now)
+    for (WaitingRequest &waiting : m_waiting) {
+        if (waiting.nextAction > now)
             continue;
-        if (waiting.ask != 0)
-            noteMissed(waiting.asked.member, now);
-        if (const std::optional<LimitDecision> verdict = withoutAnswer(waiting, now))
-            decided.push_back({waiting.exchange, *verdict});
+        if (waiting.requestId != 0)
+            recordTimeout(waiting.queriedPeer.member, now);
+        if (const std::optional<LimitDecision> decision = decideWithoutAnswer(waiting, now))
+            decided.push_back({waiting.exchange, *decision});
         else
-            ask(waiting, now);
+            query(waiting, now);
     }
     for (const Decided &one : decided)
         cancel(one.exchange);
     for (const Decided &one : decided)
-        m_listener.onLimitDecided(one.exchange, one.verdict);
+        m_listener.onLimitDecided(one.exchange, one.decision);
 }
 
 std::optional<Instant> CustomerRateLimiter::nextReview() const
 {
     std::optional<Instant> next = m_grantor.nextReview();
-    for (const Waiting &waiting : m_waiting)
-        next = std::min(next.value_or(Instant::max()), waiting.due);
+    for (const WaitingRequest &waiting : m_waiting)
+        next = std::min(next.value_or(Instant::max()), waiting.nextAction);
     return next;
 }
 
--- a/packages/dispatch/apricothook/dispatch/apricothook_customer_rate_limiter.hpp
+++ b/packages/dispatch/apricothook/dispatch/apricothook_customer_rate_limiter.hpp
@@ -12,87 +12,93 @@
 
 namespace Apricothook {
 
-/** What decided whether a request had its customer's units. */
+/** What decided whether a request got its customer's units. */
 enum class LimitSource {
     Unlimited, ///< The customer has no limit.
-    Stock,     ///< Units that were granted before.
+    Stock,     ///< Units that were granted earlier.
     Grantor,   ///< The grantor's answer.
-    Credit,    ///< This daemon's part of the credit; no grantor had answered.
+    Credit,    ///< This daemon's share of the credit, because no grantor answered.
     Nobody,    ///< No grantor answered, and the credit was used up.
 };
 
 std::string_view nameOf(LimitSource source);
 
-/** Whether a request has its customer's units, and what decided that; all but parts in units. */
+/**
+ * Whether a request got its customer's units, and what decided it. All amounts but fractions are in
+ * units.
+ */
 struct LimitDecision
 {
     bool isAdmitted = false;
     LimitSource source = LimitSource::Unlimited;
     UnitDemand demand;
-    /** Of the customer's bucket, as the grantor told; zero where it wasn't asked. */
+    /** State of the customer's bucket as reported by the grantor; zero if no grantor was asked. */
     double level = 0;
     double bucket = 0;
     double perSecond = 0;
-    /** memberHash() of the daemon that decided; zero where none did. */
+    /** memberHash() of the daemon that decided; zero if none did. */
     std::uint64_t grantor = 0;
-    /** How long the request waited for this, and how often somebody was asked. */
+    /** How long the request waited for the decision, and how many messages were sent for it. */
     Duration waited {};
     unsigned queries = 0;
-    /** When a refused caller may have what it asked for. */
+    /** Time after which a refused caller may get its units. */
     Duration retryAfter {};
 
     auto operator<=>(const LimitDecision &) const = default;
 };
 
-/** Is told of verdicts that take() couldn't give at once. */
+/** Receives the decisions that take() could not return at once. */
 class LimitListener
 {
 public:
     virtual ~LimitListener() = default;
-    virtual void onLimitDecided(ExchangeId exchange, const LimitDecision &verdict) = 0;
+    virtual void onLimitDecided(ExchangeId exchange, const LimitDecision &decision) = 0;
 };
 
-/** The fleet as far as customers' limits depend on it. */
+/** What the customers' limits depend on in the fleet. */
 struct FleetMembership
 {
-    /** All live members, this one among them. */
+    /** All live members, including this one. */
     std::vector<GrantorCandidate> members;
-    /** With those that may be serving out of sight. */
+    /** Number of members, including those that may be serving without being heard. */
     std::size_t known = 1;
-    /** This daemon has heard of the others, so that counting them tells something. */
+    /** This daemon has heard from the others, so their number is meaningful. */
     bool isComplete = true;
-    /** When this daemon started, if all others started with it: nobody granted before. */
+    /**
+     * Start time of this daemon if all others started with it, so that no units were granted
+     * before.
+     */
     std::optional<Instant> startedTogether;
 };
 
 /**
- * The limits of customers over the whole fleet, as one daemon enforces them.
+ * Enforces the customers' fleet-wide limits at one daemon.
  *
- * A request runs on units that the customer's grantor took from the customer's one bucket. The
- * daemon asks for them when the request comes; where it sees many requests of a customer it asks
- * ahead, so that most have their units at once. CustomerBudget tells why the bound holds whatever
- * is lost, dies or is cut off.
+ * A request consumes units that the customer's grantor has taken from the customer's single bucket.
+ * The daemon requests them when a request arrives. If it sees many requests of a customer, it
+ * prefetches units, so that most requests get theirs at once. CustomerBudget explains why the limit
+ * holds under message loss, crashes and partitions.
  *
- * A daemon whose question isn't answered uses its part of a small credit, and goes on to ask the
- * next in the order. A question is answered in a few milliseconds, and a first event is due in some
- * hundreds, so callers don't notice.
+ * A daemon that gets no answer from a grantor uses its share of a small credit and asks the next
+ * daemon in the ranking. An answer takes a few milliseconds and a first event is due in some
+ * hundreds, so callers don't notice the delay.
  */
 class CustomerRateLimiter
 {
 public:
-    /** A grantor that lives answers within this, also while it is busy. */
+    /** A live grantor answers within this time, even while it is busy. */
     static constexpr std::chrono::milliseconds AnswerTime {80};
-    /** Before a daemon that isn't ready yet is asked again. */
-    static constexpr std::chrono::milliseconds SoonPause {50};
+    /** Pause before a daemon that isn't the grantor yet is asked again. */
+    static constexpr std::chrono::milliseconds PendingPause {50};
     /**
-     * Longer, a request isn't kept without units: its caller may fare better elsewhere. Until then
-     * a dead grantor's successor has mostly taken over.
+     * Longest time for which a request waits for units; its caller may do better elsewhere. By then
+     * the successor of a dead grantor has usually taken over.
      */
-    static constexpr std::chrono::milliseconds LongestAsk {400};
-    /** After three unanswered questions in a row a daemon is passed over for so long. */
-    static constexpr std::chrono::milliseconds SilenceTime {500};
-    /** Time for whose requests units are asked ahead, in lives of a grant. */
-    static constexpr double AheadPart = 0.5;
+    static constexpr std::chrono::milliseconds LongestWait {400};
+    /** Time for which a daemon is skipped after three consecutive unanswered messages. */
+    static constexpr std::chrono::milliseconds SilentPeerPause {500};
+    /** Time span for whose requests units are prefetched, as a fraction of a grant's life. */
+    static constexpr double PrefetchFraction = 0.5;
 
     CustomerRateLimiter(const FleetBounds &bounds, LimitPeer self, LimitMessenger &messenger,
                         LimitListener &listener, GrantorListener &grantorListener,
@@ -100,101 +106,109 @@
 
     void setCustomers(const std::vector<CustomerRule> &customers, Instant now);
     void setFleet(const FleetMembership &fleet, Instant now);
-    /** Part of the fleet that this daemon reaches, 0 to 1. */
-    void setReachableFraction(double part, Instant now)
+    /**
+     * Sets the fraction of the customers' limits that this daemon may grant, from
+     * limitFractionOf().
+     */
+    void setReachableFraction(double fraction, Instant now)
     {
-        m_grantor.setReachableFraction(part, now);
+        m_grantor.setReachableFraction(fraction, now);
     }
 
     /**
-     * Takes the request's units if there are any at hand or the customer is over its limit; nothing
-     * where somebody must be asked. They stay taken when the request is refused later: what came in
-     * time goes before what comes after it.
+     * Takes the request's units. Returns a decision if units are available here or the customer is
+     * over its limit, and nothing if another daemon must be asked. Units stay taken if the request
+     * is refused later, because earlier requests have precedence over later ones.
      */
     std::optional<LimitDecision> take(ExchangeId exchange, const CustomerRule &customer,
-                                      const UnitDemand &claim, Instant now);
-    /** The request no longer waits for its units; nothing happens if it didn't. */
+                                      const UnitDemand &demand, Instant now);
+    /** Stops waiting for the request's units; does nothing if it isn't waiting. */
     void cancel(ExchangeId exchange);
-    /** Deals with what has waited too long, and with this daemon's own grants. */
+    /** Handles requests that have waited too long, and this daemon's own grants. */
     void review(Instant now);
-    /** When review() has something to do again; nothing while nobody waits. */
+    /** Next time at which review() has something to do; empty if nothing is pending. */
     std::optional<Instant> nextReview() const;
 
-    void take(const UnitsRequest &ask, Instant now);
-    void take(const UnitsReply &answer, Instant now);
+    void take(const UnitsRequest &request, Instant now);
+    void take(const UnitsReply &reply, Instant now);
     void take(const GrantorClaim &claim, Instant now) { m_grantor.take(claim, now); }
     void take(const GrantorHandover &handover, Instant now) { m_grantor.take(handover, now); }
     void take(const GrantorDenial &denial, Instant now) { m_grantor.take(denial, now); }
 
-    /** This daemon may grant units; setReachableFraction() is to be told. */
+    /**
+     * Whether this daemon may grant units, so that setReachableFraction() must be kept up to date.
+     */
     bool isCandidate() const { return m_grantor.isCandidate(); }
 
 private:
-    struct Waiting
+    struct WaitingRequest
     {
         ExchangeId exchange;
         std::uint64_t customer = 0;
         CustomerBudget budget;
-        UnitDemand claim;
-        Instant since {};
-        /** The present question; zero while none is open. */
-        std::uint64_t ask = 0;
-        LimitPeer asked;
-        Instant sent {};
-        /** When something is to be done without an answer. */
-        Instant due {};
-        unsigned asks = 0;
-        /** Members that said that they aren't the grantor. */
-        std::set<std::uint64_t> notThere;
-        /** Whom the last of them takes for it. */
-        std::optional<LimitPeer> named;
+        UnitDemand demand;
+        Instant waitingSince {};
+        /** Number of the open message; zero if none is open. */
+        std::uint64_t requestId = 0;
+        LimitPeer queriedPeer;
+        Instant querySent {};
+        /** Time at which the request is handled without an answer. */
+        Instant nextAction {};
+        unsigned queries = 0;
+        /** Members that answered that they aren't the grantor. */
+        std::set<std::uint64_t> notGrantors;
+        /** The grantor that the last of them named. */
+        std::optional<LimitPeer> suggestedGrantor;
     };
 
-    struct Peer
+    struct PeerState
     {
-        unsigned misses = 0;
+        unsigned timeouts = 0;
         Instant silentUntil {};
     };
 
     struct Account
     {
-        UnitStock stock;
-        /** Who granted or refused last; no member at first. */
+        LocalUnits units;
+        /** Member that last granted or refused units; none at first. */
         LimitPeer grantor;
-        /** When units were last asked ahead, with no request that waits for them. */
-        Instant aheadSent {};
-        Duration grantLife {};
+        /** When units were last prefetched, without a request that waits for them. */
+        Instant prefetchSent {};
+        Duration grantLifetime {};
     };
 
-    /** A question for units ahead that wasn't answered yet. */
-    struct AheadAsk
+    /** A prefetch of units that isn't answered yet. */
+    struct Prefetch
     {
         std::uint64_t customer = 0;
         Instant sent {};
     };
 
-    /** Who is to be asked; nothing while nobody is left. */
-    std::optional<LimitPeer> chooseGrantor(const Waiting &waiting, Instant now) const;
+    /** Returns the member to ask; empty if none is left. */
+    std::optional<LimitPeer> chooseGrantor(const WaitingRequest &waiting, Instant now) const;
     bool isSilent(std::uint64_t member, Instant now) const;
-    void ask(Waiting &waiting, Instant now);
-    /** After one that isn't the grantor; a daemon that has just started gives up soon. */
-    void askNext(Waiting &waiting, Instant now);
-    void askAhead(std::uint64_t customer, Account &account, const CustomerBudget &budget,
+    void query(WaitingRequest &waiting, Instant now);
+    /**
+     * Called after a member answered that it isn't the grantor; a daemon that has just started
+     * gives up soon.
+     */
+    void queryNext(WaitingRequest &waiting, Instant now);
+    void prefetch(std::uint64_t customer, Account &account, const CustomerBudget &budget,
                   Instant now);
-    UnitsRequest question(std::uint64_t ask, std::uint64_t customer, const UnitDemand &claim,
-                          double ahead) const;
-    double ahead(Account &account, const CustomerBudget &budget, Instant now) const;
-    void noteMissed(std::uint64_t member, Instant now);
-    /** As the grantor itself. */
-    LimitDecision decideHere(Waiting &waiting, Instant now);
-    LimitDecision grantorVerdict(const Waiting &waiting, const UnitsReply &answer, bool isAdmitted,
-                                 Instant now) const;
-    /** True when the answer was to a question for units ahead. */
-    bool takeAhead(const UnitsReply &answer, Instant now);
-    /** Decides for a request whose question wasn't answered; nothing where it waits on. */
-    std::optional<LimitDecision> withoutAnswer(Waiting &waiting, Instant now);
-    LimitDecision verdict(const Waiting &waiting, LimitSource source, bool isAdmitted,
-                          Instant now) const;
+    UnitsRequest makeUnitsRequest(std::uint64_t requestId, std::uint64_t customer,
+                                  const UnitDemand &demand, double prefetched) const;
+    double prefetchUnits(Account &account, const CustomerBudget &budget, Instant now) const;
+    void recordTimeout(std::uint64_t member, Instant now);
+    /** Decides as the customer's grantor. */
+    LimitDecision decideLocally(WaitingRequest &waiting, Instant now);
+    LimitDecision grantorDecision(const WaitingRequest &waiting, const UnitsReply &reply,
+                                  bool isAdmitted, Instant now) const;
+    /** Returns true if the answer belongs to a prefetch. */
+    bool takePrefetch(const UnitsReply &reply, Instant now);
+    /** Decides on a request that got no answer; empty if it keeps waiting. */
+    std::optional<LimitDecision> decideWithoutAnswer(WaitingRequest &waiting, Instant now);
+    LimitDecision makeDecision(const WaitingRequest &waiting, LimitSource source, bool isAdmitted,
+                               Instant now) const;
     void reviewWaiting(Instant now);
 
     const FleetBounds m_bounds;
@@ -204,13 +218,13 @@
     RandomSource &m_random;
     GrantorRole m_grantor;
     std::map<std::uint64_t, Account> m_accounts;
-    std::vector<Waiting> m_waiting;
-    /** By the number of the question. */
-    std::map<std::uint64_t, AheadAsk> m_aheadAsks;
-    std::map<std::uint64_t, Peer> m_peers;
-    std::size_t m_known = 1;
-    bool m_isComplete = true;
-    std::uint64_t m_lastAsk;
+    std::vector<WaitingRequest> m_waiting;
+    /** Keyed by the number of the message. */
+    std::map<std::uint64_t, Prefetch> m_prefetches;
+    std::map<std::uint64_t, PeerState> m_peers;
+    std::size_t m_knownMembers = 1;
+    bool m_isFleetKnown = true;
+    std::uint64_t m_lastRequestId;
 };
 
 } // namespace Apricothook
--- a/packages/dispatch/apricothook/dispatch/apricothook_dispatcher.cpp
+++ b/packages/dispatch/apricothook/dispatch/apricothook_dispatcher.cpp
@@ -13,34 +13,36 @@
     return hashOf(service.text());
 }
 
-Instant Dispatcher::holdUntil(const QueuedRequest &work) const
+Instant Dispatcher::latestPlacement(const QueuedRequest &request) const
 {
-    const Duration whole = work.deadline - work.arrived;
-    const auto part = std::chrono::duration_cast<Duration>(whole * LongestHoldPart);
-    const auto first = std::chrono::duration_cast<Duration>(work.objective * LongestFirst)
-        - m_targets.expectedTimeToFirstEvent(work.service, work.size);
-    return work.arrived + std::max(std::min(part, first), work.objective / 8);
+    const Duration whole = request.deadline - request.arrived;
+    const auto byFraction = std::chrono::duration_cast<Duration>(whole * LongestQueueFraction);
+    const auto byFirstByte
+        = std::chrono::duration_cast<Duration>(request.objective * LongestTimeToFirstByte)
+        - m_targets.expectedTimeToFirstEvent(request.service, request.size);
+    return request.arrived + std::max(std::min(byFraction, byFirstByte), request.objective / 8);
 }
 
-void Dispatcher::submit(QueuedRequest work, Instant now)
+void Dispatcher::submit(QueuedRequest request, Instant now)
 {
-    const QueuedRequest newest = work;
-    const bool hadAll
-        = !newest.excluded.empty() && !m_targets.hasOther(newest.service, newest.excluded);
-    if (hadAll || m_targets.isEvacuated(newest.service)) {
-        refuse(newest, now);
+    const QueuedRequest submitted = request;
+    const bool triedAll = !submitted.excluded.empty()
+        && !m_targets.hasAlternative(submitted.service, submitted.excluded);
+    if (triedAll || m_targets.isEvacuated(submitted.service)) {
+        refuse(submitted, now);
         return;
     }
-    Queue &queue = m_queues[work.service];
-    queue.push_back(std::move(work));
+    Queue &queue = m_queues[request.service];
+    queue.push_back(std::move(request));
     placeAll(queue, now);
-    const bool waits
-        = std::ranges::find(queue, newest.exchange, &QueuedRequest::exchange) != queue.end();
-    // Said at once: a request that waits in vain could have tried again elsewhere meanwhile.
-    const bool mayWait = m_policies.waiting && now + expectedWait(newest, now) <= holdUntil(newest);
-    if (waits && !mayWait) {
-        cancel(newest.exchange);
-        refuse(newest, now);
+    const bool isQueued
+        = std::ranges::find(queue, submitted.exchange, &QueuedRequest::exchange) != queue.end();
+    // Refused at once, so that the caller of a request that would wait in vain can retry elsewhere.
+    const bool mayWait
+        = m_policies.waiting && now + expectedWait(submitted, now) <= latestPlacement(submitted);
+    if (isQueued && !mayWait) {
+        cancel(submitted.exchange);
+        refuse(submitted, now);
     }
     refuseOvertaken(queue, now);
 }
@@ -48,15 +50,16 @@
 void Dispatcher::cancel(ExchangeId exchange)
 {
     for (auto &[service, queue] : m_queues)
-        std::erase_if(queue,
-                      [exchange](const QueuedRequest &work) { return work.exchange == exchange; });
+        std::erase_if(queue, [exchange](const QueuedRequest &request) {
+            return request.exchange == exchange;
+        });
 }
 
 void Dispatcher::review(Instant now)
 {
     m_targets.review(now);
     for (auto &[service, queue] : m_queues) {
-        // An evacuation lasts for longer than anything may wait.
+        // An evacuation lasts longer than any request may wait.
         if (m_targets.isEvacuated(service))
             refuseAll(queue, now);
         placeAll(queue, now);
@@ -65,105 +68,107 @@
     }
 }
 
-void Dispatcher::sortByUrgency(Queue &queue)
+void Dispatcher::sortByPriority(Queue &queue)
 {
-    std::ranges::stable_sort(queue, {}, [](const QueuedRequest &work) {
-        return std::tuple(work.rank, work.arrived + work.objective);
+    std::ranges::stable_sort(queue, {}, [](const QueuedRequest &request) {
+        return std::tuple(request.rank, request.arrived + request.objective);
     });
 }
 
 void Dispatcher::placeAll(Queue &queue, Instant now)
 {
-    sortByUrgency(queue);
-    // Work that waits for a fast target must not keep what a slow one can do from it.
+    sortByPriority(queue);
+    // A request that waits for a fast target must not block others that a slow target can serve.
     for (std::size_t next = 0;
-         next < queue.size() && m_targets.hasRoom(queue[next].service, now);) {
-        const QueuedRequest work = queue[next];
-        if (place(work, now))
+         next < queue.size() && m_targets.hasCapacity(queue[next].service, now);) {
+        const QueuedRequest request = queue[next];
+        if (place(request, now))
             queue.erase(queue.begin() + static_cast<std::ptrdiff_t>(next));
         else
             ++next;
     }
 }
 
-bool Dispatcher::place(const QueuedRequest &work, Instant now)
+bool Dispatcher::place(const QueuedRequest &request, Instant now)
 {
-    const std::uint32_t above
-        = m_policies.othersFirst ? waitingOfOthers(work.service, work.rank, false) : 0;
-    if (above > 0 && m_targets.capacity(work.service, now).free <= above)
+    const std::uint32_t queuedAbove
+        = m_policies.othersFirst ? queuedAtOthers(request.service, request.rank, false) : 0;
+    if (queuedAbove > 0 && m_targets.capacity(request.service, now).free <= queuedAbove)
         return false;
     const TrackedTarget *target
-        = m_targets.choose({.service = work.service,
-                            .size = work.size,
-                            .untilFirst = work.arrived + work.objective - now,
-                            .untilEnd = work.deadline - now,
-                            .excluded = work.excluded},
+        = m_targets.choose({.service = request.service,
+                            .size = request.size,
+                            .timeToFirstEvent = request.arrived + request.objective - now,
+                            .timeToEnd = request.deadline - now,
+                            .excluded = request.excluded},
                            now);
     if (!target)
         return false;
-    m_targets.requestStarted(target->entry.instance(), work.size, now);
-    m_listener.onPlaced(work.exchange, target->entry);
+    m_targets.requestStarted(target->entry.instance(), request.size, now);
+    m_listener.onPlaced(request.exchange, target->entry);
     return true;
 }
 
 void Dispatcher::refuseAll(Queue &queue, Instant now)
 {
-    for (const QueuedRequest &work : std::exchange(queue, {}))
-        refuse(work, now);
+    for (const QueuedRequest &request : std::exchange(queue, {}))
+        refuse(request, now);
 }
 
 void Dispatcher::refuseOverdue(Queue &queue, Instant now)
 {
     const auto overdue
-        = std::stable_partition(queue.begin(), queue.end(),
-                                [this, now](const auto &work) { return holdUntil(work) > now; });
+        = std::stable_partition(queue.begin(), queue.end(), [this, now](const auto &request) {
+              return latestPlacement(request) > now;
+          });
     const Queue refused(overdue, queue.end());
     queue.erase(overdue, queue.end());
-    for (const QueuedRequest &work : refused)
-        refuse(work, now);
+    for (const QueuedRequest &request : refused)
+        refuse(request, now);
 }
 
 void Dispatcher::refuseOvertaken(Queue &queue, Instant now)
 {
-    const auto overtaken = std::stable_partition(queue.begin(), queue.end(), [&](const auto &work) {
-        return expectedWait(work, now) <= holdUntil(work) - work.arrived;
-    });
+    const auto overtaken
+        = std::stable_partition(queue.begin(), queue.end(), [&](const auto &request) {
+              return expectedWait(request, now) <= latestPlacement(request) - request.arrived;
+          });
     const Queue refused(overtaken, queue.end());
     queue.erase(overtaken, queue.end());
-    for (const QueuedRequest &work : refused)
-        refuse(work, now);
+    for (const QueuedRequest &request : refused)
+        refuse(request, now);
 }
 
-void Dispatcher::refuse(const QueuedRequest &work, Instant now)
+void Dispatcher::refuse(const QueuedRequest &request, Instant now)
 {
-    RefusalDetails facts;
-    facts.rank = work.rank;
-    facts.capacity = m_targets.capacity(work.service, now);
-    facts.ahead = waitingAhead(work);
-    facts.expectedWait = expectedWait(work, now);
-    facts.retryAfter = retryAfter(work, facts, now);
-    m_listener.onRefused(work.exchange, facts);
+    RefusalDetails details;
+    details.rank = request.rank;
+    details.capacity = m_targets.capacity(request.service, now);
+    details.ahead = queuedAhead(request);
+    details.expectedWait = expectedWait(request, now);
+    details.retryAfter = retryAfter(request, details, now);
+    m_listener.onRefused(request.exchange, details);
 }
 
-Duration Dispatcher::retryAfter(const QueuedRequest &work, const RefusalDetails &facts,
+Duration Dispatcher::retryAfter(const QueuedRequest &request, const RefusalDetails &details,
                                 Instant now) const
 {
-    const Duration left = std::max(work.deadline - now, Duration::zero());
+    const Duration remaining = std::max(request.deadline - now, Duration::zero());
     const auto latest = std::min<Duration>(
-        std::chrono::duration_cast<Duration>(left * LatestReturnPart), LongestRetryAfter);
-    // Without a sound target it isn't load that stands in the way, and it may be gone at once.
-    const bool isLoad = facts.capacity.slots > 0 && m_policies.lateReturn;
-    const bool isLong = isLoad || m_targets.isEvacuated(work.service);
+        std::chrono::duration_cast<Duration>(remaining * LatestRetryFraction), LongestRetryAfter);
+    // If no target is healthy, load isn't the cause, and the cause may disappear at any moment.
+    const bool isLoad = details.capacity.slots > 0 && m_policies.lateReturn;
+    const bool isLong = isLoad || m_targets.isEvacuated(request.service);
     return isLong ? latest
-                  : std::min(std::max<Duration>(facts.expectedWait, ShortestRetryAfter), latest);
+                  : std::min(std::max<Duration>(details.expectedWait, ShortestRetryAfter), latest);
 }
 
-std::uint32_t Dispatcher::waitingOfOthers(const ServiceId &service, const RequestRank &rank,
-                                          bool withEqual) const
+std::uint32_t Dispatcher::queuedAtOthers(const ServiceId &service, const RequestRank &rank,
+                                         bool withEqual) const
 {
     std::uint32_t waiting = 0;
     const std::uint64_t number = serviceHash(service);
-    for (const auto &[member, counts] : m_waitingOfMembers) {
+    for (const auto &[member, counts] : m_memberQueueLengths) {
         for (const QueueLength &count : counts) {
             const bool counts = count.rank.isAbove(rank) || (withEqual && count.rank == rank);
             if (count.service == number && counts)
@@ -173,35 +178,35 @@
     return waiting;
 }
 
-std::uint32_t Dispatcher::waitingAhead(const QueuedRequest &work) const
+std::uint32_t Dispatcher::queuedAhead(const QueuedRequest &request) const
 {
-    std::uint32_t ahead = waitingOfOthers(work.service, work.rank, true);
-    const auto queue = m_queues.find(work.service);
+    std::uint32_t ahead = queuedAtOthers(request.service, request.rank, true);
+    const auto queue = m_queues.find(request.service);
     if (queue != m_queues.end()) {
         ahead += static_cast<std::uint32_t>(
             std::ranges::count_if(queue->second, [&](const auto &other) {
-                return other.exchange != work.exchange && !work.rank.isAbove(other.rank);
+                return other.exchange != request.exchange && !request.rank.isAbove(other.rank);
             }));
     }
     return ahead;
 }
 
-Duration Dispatcher::expectedWait(const QueuedRequest &work, Instant now) const
+Duration Dispatcher::expectedWait(const QueuedRequest &request, Instant now) const
 {
-    const ServiceCapacity room = m_targets.capacity(work.service, now);
-    if (room.free > 0)
+    const ServiceCapacity capacity = m_targets.capacity(request.service, now);
+    if (capacity.free > 0)
         return Duration::zero();
-    const double slots = std::max<double>(room.slots, 1);
+    const double slots = std::max<double>(capacity.slots, 1);
     return std::chrono::duration_cast<Duration>(std::chrono::duration<double, std::milli>(
-        (waitingAhead(work) + 1) * room.meanHoldTime / slots));
+        (queuedAhead(request) + 1) * capacity.meanHoldTime / slots));
 }
 
 void Dispatcher::setMemberQueueLengths(std::uint64_t member, std::vector<QueueLength> counts)
 {
     if (counts.empty())
-        m_waitingOfMembers.erase(member);
+        m_memberQueueLengths.erase(member);
     else
-        m_waitingOfMembers[member] = std::move(counts);
+        m_memberQueueLengths[member] = std::move(counts);
 }
 
 std::vector<QueueLength> Dispatcher::ownQueueLengths() const
@@ -209,8 +214,8 @@
     std::vector<QueueLength> counts;
     for (const auto &[service, queue] : m_queues) {
         std::map<RequestRank, std::uint32_t> byRank;
-        for (const QueuedRequest &work : queue)
-            ++byRank[work.rank];
+        for (const QueuedRequest &request : queue)
+            ++byRank[request.rank];
         for (const auto &[rank, waiting] : byRank)
             counts.push_back({serviceHash(service), rank, waiting});
     }
@@ -229,8 +234,8 @@
 {
     std::optional<Instant> next;
     for (const auto &[service, queue] : m_queues) {
-        for (const QueuedRequest &work : queue)
-            next = std::min(next.value_or(Instant::max()), holdUntil(work));
+        for (const QueuedRequest &request : queue)
+            next = std::min(next.value_or(Instant::max()), latestPlacement(request));
     }
     return next;
 }
--- a/packages/dispatch/apricothook/dispatch/apricothook_dispatcher.hpp
+++ b/packages/dispatch/apricothook/dispatch/apricothook_dispatcher.hpp
@@ -8,7 +8,7 @@
 
 namespace Apricothook {
 
-/** How important a request is: its customer's tier goes first, then that of its route. */
+/** Priority of a request: the customer's tier is compared first, then the route's tier. */
 struct RequestRank
 {
     Tier customer;
@@ -18,7 +18,7 @@
     auto operator<=>(const RequestRank &) const = default;
 };
 
-/** A request that wants a target. */
+/** A queued request that needs a target. */
 struct QueuedRequest
 {
     ExchangeId exchange;
@@ -27,16 +27,16 @@
     RequestSize size;
     Instant arrived {};
     Duration objective {};
-    /** The final answer must be out by then. */
+    /** Time by which the final answer must be sent. */
     Instant deadline {};
-    /** Targets that had it already. */
+    /** Targets that were already tried. */
     std::set<TargetInstance> excluded;
 };
 
-/** Requests of one rank that wait for a service at one member; part of its beacon. */
+/** Requests of one rank that are queued for a service at one member; part of its heartbeat. */
 struct QueueLength
 {
-    std::uint64_t service = 0; ///< serviceHash() of the name.
+    std::uint64_t service = 0; ///< serviceHash() of the service's name.
     RequestRank rank;
     std::uint32_t waiting = 0;
 
@@ -45,58 +45,62 @@
 
 std::uint64_t serviceHash(const ServiceId &service);
 
-/** What a refusal was decided by. */
+/** The data on which a refusal is based. */
 struct RefusalDetails
 {
     ServiceCapacity capacity;
     RequestRank rank;
-    /** Requests that wait before this one, over all daemons as far as known. */
+    /** Requests ahead of this one in the queues of all daemons, as far as known. */
     std::uint32_t ahead = 0;
     Duration expectedWait {};
-    /** When there may be room. */
+    /** Time after which the caller should retry. */
     Duration retryAfter {};
 };
 
-/** Is told where waiting requests go. onPlaced() must not call the dispatcher. */
+/** Receives the decisions about queued requests. onPlaced() must not call the dispatcher. */
 class DispatchListener
 {
 public:
     virtual ~DispatchListener() = default;
     virtual void onPlaced(ExchangeId exchange, const TargetEntry &target) = 0;
-    /** No target will have room in time. */
-    virtual void onRefused(ExchangeId exchange, const RefusalDetails &facts) = 0;
+    /** No target will have a free slot in time. */
+    virtual void onRefused(ExchangeId exchange, const RefusalDetails &details) = 0;
 };
 
 /**
- * Decides which waiting request goes to which target, and when.
+ * Decides when a queued request is sent, and to which target.
  *
- * Engines serve first come first served, so a request that waits at an engine can't be overtaken by
- * a more important one. Requests wait here instead, and go to a target only when one of its slots
- * is believed free over all daemons. What other daemons do is known from their beacons, some tens
- * of milliseconds old; two that take the same slot cost a short wait at the engine and nothing
- * else.
+ * Engines serve requests in order of arrival, so a request that is queued at an engine can't be
+ * overtaken by a more important one. Requests are queued here instead and sent to a target only
+ * when one of its slots is believed to be free across all daemons. The load of other daemons is
+ * known from their heartbeats, which are some tens of milliseconds old. If two daemons take the
+ * same slot, the only cost is a short wait at the engine.
  */
 class Dispatcher
 {
 public:
-    /** Longest part of its time for which a request is held. */
-    static constexpr double LongestHoldPart = 0.33;
+    /** Largest fraction of its total time for which a request is queued. */
+    static constexpr double LongestQueueFraction = 0.33;
     /**
-     * Longest time to the first byte of an answer, in objectives. Callers of streams give up after
-     * some four objectives without an event; one that leaves has waited for nothing.
+     * Latest time of an answer's first byte, in multiples of the objective. Callers of streams give
+     * up after about four objectives without an event, and a request whose caller has left was
+     * queued for nothing.
      */
-    static constexpr double LongestFirst = 1.0;
-    /** Shortest time after which a refused caller is asked to come back. */
+    static constexpr double LongestTimeToFirstByte = 1.0;
+    /** Shortest time after which a refused caller is asked to retry. */
     static constexpr std::chrono::milliseconds ShortestRetryAfter {200};
     /**
-     * Part of its time after which a refused caller comes back at the latest; callers honour no
-     * more. Load is high for seconds, while a wait by the queue's length is some tenths of one: who
-     * came back after it was refused again, and callers come back once. With the latest time the
-     * share of requests that isn't served fell from 0.064 to 0.053 over 18 plays of three small
-     * fleets at high load, and from 0.103 to 0.087 over six of three large ones.
+     * Latest time at which a refused caller retries, as a fraction of its remaining time; callers
+     * honour no longer delay. High load lasts for seconds, while the wait derived from the queue's
+     * length is some tenths of a second: callers that retried after it were refused again, and
+     * callers retry once. With the latest time the share of unserved requests fell from 0.064 to
+     * 0.053 over 18 benchmark runs of three small fleets at high load, and from 0.103 to 0.087 over
+     * six runs of three large ones.
+     */
+    static constexpr double LatestRetryFraction = 1.0 / 3;
+    /**
+     * Surges seldom last longer, so callers with minutes of time left aren't sent away for minutes.
      */
-    static constexpr double LatestReturnPart = 1.0 / 3;
-    /** Surges seldom last longer; callers with minutes of time aren't sent away for minutes. */
     static constexpr std::chrono::seconds LongestRetryAfter {5};
 
     Dispatcher(TargetTable &targets, DispatchListener &listener,
@@ -105,51 +109,55 @@
     {
     }
 
-    /** Places the request at once, keeps it waiting, or refuses it. */
-    void submit(QueuedRequest work, Instant now);
-    /** The request no longer waits; nothing happens if it didn't. */
+    /** Places the request at once, queues it, or refuses it. */
+    void submit(QueuedRequest request, Instant now);
+    /** Removes the request from its queue; does nothing if it isn't queued. */
     void cancel(ExchangeId exchange);
-    /** Places what there is room for and refuses what has waited too long. */
+    /**
+     * Places the requests for which there is capacity and refuses those that have waited too long.
+     */
     void review(Instant now);
     void setMemberQueueLengths(std::uint64_t member, std::vector<QueueLength> counts);
     std::vector<QueueLength> ownQueueLengths() const;
     std::size_t waiting() const;
-    /** The earliest time at which review() may have to refuse something; nothing when none waits.
-     */
+    /** Earliest time at which review() may have to refuse a request; empty if none is queued. */
     std::optional<Instant> nextTimeout() const;
 
 private:
     using Queue = std::vector<QueuedRequest>;
 
-    static void sortByUrgency(Queue &queue);
-    bool place(const QueuedRequest &work, Instant now);
+    static void sortByPriority(Queue &queue);
+    bool place(const QueuedRequest &request, Instant now);
     void placeAll(Queue &queue, Instant now);
     void refuseAll(Queue &queue, Instant now);
     void refuseOverdue(Queue &queue, Instant now);
     /**
-     * Refuses what more urgent requests have overtaken for longer than it may wait in all.
+     * Refuses requests that can no longer be placed in time because more urgent ones have overtaken
+     * them.
      *
-     * Load pattern: a surge of urgent requests finds others waiting that had a place in sight when
-     * they came. Held until their time is over they are told late, and return when the surge that
-     * displaced them still lasts. Told at once, they find room at another cell: over three plays of
-     * 195 daemons at high load the part of the payoff that is served rose from 0.595 to 0.628, over
-     * one of 66 by 0.001; six daemons are one cell and gain nothing.
+     * Load pattern: a surge of urgent requests arrives while other requests are queued that would
+     * have been placed in time. If these are refused only at the end of their waiting time, their
+     * callers learn it late and retry while the surge still lasts. If refused at once, they find
+     * capacity at another cell: over three benchmark runs of 195 daemons at high load the served
+     * share of the value rose from 0.595 to 0.628, over one run of 66 daemons by 0.001. Six daemons
+     * form a single cell and gain nothing.
      */
     void refuseOvertaken(Queue &queue, Instant now);
-    void refuse(const QueuedRequest &work, Instant now);
-    Duration retryAfter(const QueuedRequest &work, const RefusalDetails &facts, Instant now) const;
-    /** Requests of others above the rank, or of the rank itself too. */
-    std::uint32_t waitingOfOthers(const ServiceId &service, const RequestRank &rank,
-                                  bool withEqual) const;
-    std::uint32_t waitingAhead(const QueuedRequest &work) const;
-    Duration expectedWait(const QueuedRequest &work, Instant now) const;
-    Instant holdUntil(const QueuedRequest &work) const;
+    void refuse(const QueuedRequest &request, Instant now);
+    Duration retryAfter(const QueuedRequest &request, const RefusalDetails &details,
+                        Instant now) const;
+    /** Requests queued at other daemons that rank above `rank`, or also equal to it. */
+    std::uint32_t queuedAtOthers(const ServiceId &service, const RequestRank &rank,
+                                 bool withEqual) const;
+    std::uint32_t queuedAhead(const QueuedRequest &request) const;
+    Duration expectedWait(const QueuedRequest &request, Instant now) const;
+    Instant latestPlacement(const QueuedRequest &request) const;
 
     TargetTable &m_targets;
     DispatchListener &m_listener;
     const PolicySwitches m_policies;
     std::map<ServiceId, Queue> m_queues;
-    std::map<std::uint64_t, std::vector<QueueLength>> m_waitingOfMembers;
+    std::map<std::uint64_t, std::vector<QueueLength>> m_memberQueueLengths;
 };
 
 } // namespace Apricothook
--- a/packages/dispatch/apricothook/dispatch/apricothook_grantor_ranking.cpp
+++ b/packages/dispatch/apricothook/dispatch/apricothook_grantor_ranking.cpp
@@ -16,13 +16,13 @@
 
 } // namespace
 
-bool GrantorOrder::isCandidate(const LimitPeer &peer) const
+bool GrantorRanking::isCandidate(const LimitPeer &peer) const
 {
-    return std::ranges::find(m_staying, peer.member, &LimitPeer::member) != m_staying.end();
+    return std::ranges::find(m_candidates, peer.member, &LimitPeer::member) != m_candidates.end();
 }
 
-bool GrantorOrder::isBefore(const LimitPeer &one, const LimitPeer &other,
-                            std::uint64_t customer) const
+bool GrantorRanking::ranksBefore(const LimitPeer &one, const LimitPeer &other,
+                                 std::uint64_t customer) const
 {
     const auto rank = [&](const LimitPeer &peer) {
         return std::tuple(isCandidate(peer), weight(customer, peer), peer.member);
@@ -30,42 +30,43 @@
     return rank(one) > rank(other);
 }
 
-void GrantorOrder::setMembers(std::vector<GrantorCandidate> members)
+void GrantorRanking::setMembers(std::vector<GrantorCandidate> members)
 {
     std::ranges::sort(members, {}, [](const GrantorCandidate &candidate) {
         return std::tuple(~candidate.capacity, candidate.peer.member);
     });
-    m_staying.clear();
+    m_candidates.clear();
     m_leaving.clear();
     for (const GrantorCandidate &candidate : members) {
-        std::vector<LimitPeer> &list = candidate.isLeaving ? m_leaving : m_staying;
-        if (list.size() < MostCandidates)
+        std::vector<LimitPeer> &list = candidate.isLeaving ? m_leaving : m_candidates;
+        if (list.size() < MaximumCandidates)
             list.push_back(candidate.peer);
     }
 }
 
-std::vector<LimitPeer> GrantorOrder::ranks(std::uint64_t customer) const
+std::vector<LimitPeer> GrantorRanking::ranked(std::uint64_t customer) const
 {
-    std::vector<LimitPeer> ranks = m_staying;
+    std::vector<LimitPeer> ranks = m_candidates;
     std::ranges::sort(ranks, std::greater<>(), [customer](const LimitPeer &peer) {
         return std::pair(weight(customer, peer), peer.member);
     });
     return ranks;
 }
 
-const LimitPeer *GrantorOrder::first(std::uint64_t customer) const
+const LimitPeer *GrantorRanking::highestRanked(std::uint64_t customer) const
 {
-    const auto best = std::ranges::max_element(m_staying, {}, [customer](const LimitPeer &peer) {
+    const auto best = std::ranges::max_element(m_candidates, {}, [customer](const LimitPeer &peer) {
         return std::pair(weight(customer, peer), peer.member);
     });
-    return best == m_staying.end() ? nullptr : &*best;
+    return best == m_candidates.end() ? nullptr : &*best;
 }
 
-std::vector<LimitPeer> GrantorOrder::incumbents(std::uint64_t customer, std::uint64_t self) const
+std::vector<LimitPeer> GrantorRanking::possibleGrantors(std::uint64_t customer,
+                                                        std::uint64_t self) const
 {
-    std::vector<LimitPeer> asked = ranks(customer);
+    std::vector<LimitPeer> asked = ranked(customer);
     std::erase_if(asked, [self](const LimitPeer &peer) { return peer.member == self; });
-    asked.resize(std::min(asked.size(), MostAskedToHandOver));
+    asked.resize(std::min(asked.size(), MaximumClaimReceivers));
     asked.insert(asked.end(), m_leaving.begin(), m_leaving.end());
     std::erase_if(asked, [self](const LimitPeer &peer) { return peer.member == self; });
     return asked;
--- a/packages/dispatch/apricothook/dispatch/apricothook_grantor_role.cpp
+++ b/packages/dispatch/apricothook/dispatch/apricothook_grantor_role.cpp
@@ -8,12 +8,12 @@
 namespace {
 
 constexpr double Thousandths = 1000;
-/** A datagram that comes twice comes within seconds; a daemon gets few handovers in a minute. */
+/** Duplicates of a datagram arrive within seconds, and a daemon receives few handovers a minute. */
 constexpr std::size_t RememberedHandovers = 64;
-/** An hour: no caller waits longer, and the number stays small. */
+/** One hour: no caller waits longer, and the number stays small. */
 constexpr std::int64_t LongestWaitMs = 3'600'000;
 
-std::uint64_t whole(double units)
+std::uint64_t wholeUnits(double units)
 {
     return static_cast<std::uint64_t>(std::max(units, 0.0));
 }
@@ -48,7 +48,7 @@
 void GrantorRole::setCustomers(const std::vector<CustomerRule> &customers,
                                const FleetBounds &bounds, Instant now)
 {
-    std::map<std::uint64_t, Role> kept;
+    std::map<std::uint64_t, Role> current;
     for (const CustomerRule &customer : customers) {
         if (customer.ratePerSecond <= 0)
             continue;
@@ -56,80 +56,80 @@
         const auto known = m_roles.find(number);
         Role role = known == m_roles.end() ? Role() : std::move(known->second);
         role.budget = budgetOf(customer, bounds);
-        if (role.state == State::Here)
+        if (role.state == State::Grantor)
             role.bucket.setBudget(role.budget, now);
-        kept.emplace(number, std::move(role));
+        current.emplace(number, std::move(role));
     }
-    m_roles = std::move(kept);
+    m_roles = std::move(current);
 }
 
 void GrantorRole::setMembers(std::vector<GrantorCandidate> members,
                              std::optional<Instant> startedTogether)
 {
     m_startedTogether = startedTogether;
-    m_order.setMembers(std::move(members));
+    m_ranking.setMembers(std::move(members));
 }
 
-void GrantorRole::setReachableFraction(double part, Instant now)
+void GrantorRole::setReachableFraction(double fraction, Instant now)
 {
-    m_part = part;
+    m_reachableFraction = fraction;
     for (auto &[customer, role] : m_roles) {
-        if (role.state == State::Here)
-            role.bucket.setPart(part, now);
+        if (role.state == State::Grantor)
+            role.bucket.setReachableFraction(fraction, now);
     }
 }
 
 bool GrantorRole::isGrantor(std::uint64_t customer) const
 {
     const auto role = m_roles.find(customer);
-    return role != m_roles.end() && role->second.state == State::Here;
+    return role != m_roles.end() && role->second.state == State::Grantor;
 }
 
-void GrantorRole::noteStandstill(Instant now)
+void GrantorRole::handleStall(Instant now)
 {
-    const bool stoodStill = now - std::exchange(m_reviewed, now) > StandstillTime;
-    if (!stoodStill)
+    const bool wasStalled = now - std::exchange(m_lastReview, now) > StallTimeout;
+    if (!wasStalled)
         return;
     for (auto &[customer, role] : m_roles) {
-        if (role.state != State::Here)
+        if (role.state != State::Grantor)
             continue;
-        role.kept = role.bucket.takeAll(now);
+        role.retainedUnits = role.bucket.takeAll(now);
         startClaim(customer, role, now);
     }
 }
 
 void GrantorRole::review(bool knowsFleet, Instant now)
 {
-    noteStandstill(now);
+    handleStall(now);
     m_knowsFleet = knowsFleet;
     for (auto &[customer, role] : m_roles)
         review(customer, role, now);
 }
 
-bool GrantorRole::isFirst(std::uint64_t customer) const
+bool GrantorRole::ranksFirst(std::uint64_t customer) const
 {
-    const LimitPeer *first = m_order.first(customer);
+    const LimitPeer *first = m_ranking.highestRanked(customer);
     return first && first->member == m_self.member;
 }
 
 void GrantorRole::review(std::uint64_t customer, Role &role, Instant now)
 {
     switch (role.state) {
-    case State::Elsewhere:
+    case State::NotGrantor:
         if (mayClaim(customer, role, now))
             startClaim(customer, role, now);
         return;
     case State::Claiming:
-        if (now - role.since >= ClaimTime)
-            enter(customer, role, 0, GrantorChange::TakenEmpty, now);
-        else if (now - role.claimed >= ClaimPause)
+        if (now - role.stateSince >= ClaimTimeout)
+            becomeGrantor(customer, role, 0, GrantorChange::TakenEmpty, now);
+        else if (now - role.lastClaim >= ClaimInterval)
             sendClaim(customer, role, now);
         return;
-    case State::Here:
+    case State::Grantor:
         role.bucket.refill(now);
-        // The first may be a grantor as well, after a partition or where each knew a part of the
-        // fleet; then it hands over. If it isn't yet, it claims from this daemon in its turn.
-        if (!isFirst(customer) && now - role.claimed >= UnitBucket::LongestRefill)
+        // The daemon that ranks first may be a grantor as well, after a partition or if each daemon
+        // knew only part of the fleet. It then hands over, or claims the customer from this daemon.
+        if (!ranksFirst(customer) && now - role.lastClaim >= UnitBucket::LongestRefill)
             sendClaim(customer, role, now);
         return;
     }
@@ -137,15 +137,17 @@
 
 bool GrantorRole::mayClaim(std::uint64_t customer, const Role &role, Instant now) const
 {
-    const bool reachesEnough = reachesFleet() || (m_part > 0 && now >= role.restsUntil);
-    return isFirst(customer) && m_knowsFleet && reachesEnough;
+    const bool reachesEnough
+        = reachesFleet() || (m_reachableFraction > 0 && now >= role.noClaimBefore);
+    return ranksFirst(customer) && m_knowsFleet && reachesEnough;
 }
 
-bool GrantorRole::isAmongFirst(std::uint64_t customer) const
+bool GrantorRole::isAmongHighestRanked(std::uint64_t customer) const
 {
-    const std::vector<LimitPeer> ranks = m_order.ranks(customer);
+    const std::vector<LimitPeer> ranks = m_ranking.ranked(customer);
     const auto end = ranks.begin()
-        + static_cast<std::ptrdiff_t>(std::min(ranks.size(), GrantorOrder::MostAskedToHandOver));
+        + static_cast<std::ptrdiff_t>(
+                         std::min(ranks.size(), GrantorRanking::MaximumClaimReceivers));
     return std::find(ranks.begin(), end, m_self) != end;
 }
 
@@ -154,8 +156,9 @@
     std::optional<Instant> next;
     for (const auto &[customer, role] : m_roles) {
         if (role.state == State::Claiming)
-            next = std::min(next.value_or(Instant::max()),
-                            std::min(role.claimed + ClaimPause, role.since + ClaimTime));
+            next = std::min(
+                next.value_or(Instant::max()),
+                std::min(role.lastClaim + ClaimInterval, role.stateSince + ClaimTimeout));
     }
     return next;
 }
@@ -163,42 +166,43 @@
 void GrantorRole::startClaim(std::uint64_t customer, Role &role, Instant now)
 {
     role.state = State::Claiming;
-    role.since = now;
-    role.claim = m_random.next() | 1;
-    role.asked.clear();
-    for (const LimitPeer &peer : m_order.incumbents(customer, m_self.member))
-        role.asked.insert(peer.member);
-    if (m_order.incumbents(customer, m_self.member).empty())
-        enter(customer, role, 0, GrantorChange::TakenEmpty, now);
+    role.stateSince = now;
+    role.claimId = m_random.next() | 1;
+    role.pendingDenials.clear();
+    for (const LimitPeer &peer : m_ranking.possibleGrantors(customer, m_self.member))
+        role.pendingDenials.insert(peer.member);
+    if (m_ranking.possibleGrantors(customer, m_self.member).empty())
+        becomeGrantor(customer, role, 0, GrantorChange::TakenEmpty, now);
     else
         sendClaim(customer, role, now);
 }
 
 void GrantorRole::sendClaim(std::uint64_t customer, Role &role, Instant now)
 {
-    role.claimed = now;
-    for (const LimitPeer &peer : m_order.incumbents(customer, m_self.member))
-        m_messenger.send(peer.address, GrantorClaim {m_self, role.claim, customer, reachesFleet()});
+    role.lastClaim = now;
+    for (const LimitPeer &peer : m_ranking.possibleGrantors(customer, m_self.member))
+        m_messenger.send(peer.address,
+                         GrantorClaim {m_self, role.claimId, customer, reachesFleet()});
 }
 
-void GrantorRole::enter(std::uint64_t customer, Role &role, double level, GrantorChange change,
-                        Instant now)
+void GrantorRole::becomeGrantor(std::uint64_t customer, Role &role, double level,
+                                GrantorChange change, Instant now)
 {
-    // What came in during the claim is for those who wait for its end. Should the former grantor
-    // live unheard, both granted for that time; the budget has room for it.
+    // Units that accrued during the claim are for the requests that wait for its end. If the former
+    // grantor is alive but unheard, both granted for that time; the budget allows for it.
     const std::chrono::duration<double> vacancy = now - vacantSince(role, now);
-    role.state = State::Here;
-    role.since = now;
+    role.state = State::Grantor;
+    role.stateSince = now;
     role.bucket = UnitBucket(role.budget, now);
-    role.bucket.setPart(m_part, now);
-    const double missed = vacancy.count() * role.bucket.perSecond();
-    role.bucket.add(level + missed + std::exchange(role.kept, 0), now);
+    role.bucket.setReachableFraction(m_reachableFraction, now);
+    const double accrued = vacancy.count() * role.bucket.perSecond();
+    role.bucket.add(level + accrued + std::exchange(role.retainedUnits, 0), now);
     m_listener.onGrantorChanged(customer, change, role.bucket.level());
 }
 
-bool GrantorRole::isAllNew(Instant now) const
+bool GrantorRole::hasFleetJustStarted(Instant now) const
 {
-    // Later, another may have granted and died since.
+    // Later, another daemon may have granted units and died since.
     return m_startedTogether && now - *m_startedTogether <= LongestVacancy;
 }
 
@@ -206,66 +210,70 @@
 {
     if (role.state != State::Claiming)
         return now;
-    return isAllNew(now) ? *m_startedTogether : role.since;
+    return hasFleetJustStarted(now) ? *m_startedTogether : role.stateSince;
 }
 
 void GrantorRole::handOver(const GrantorClaim &claim, Role &role, Instant now)
 {
     const double level = role.bucket.takeAll(now);
-    role.state = State::Elsewhere;
-    role.since = now;
-    role.sent = {m_random.next(), claim.claim, claim.customer, whole(level)};
+    role.state = State::NotGrantor;
+    role.stateSince = now;
+    role.lastHandover = {m_random.next(), claim.claim, claim.customer, wholeUnits(level)};
     m_listener.onGrantorChanged(claim.customer, GrantorChange::HandedOver, level);
-    m_messenger.send(claim.sender.address, role.sent);
+    m_messenger.send(claim.sender.address, role.lastHandover);
 }
 
-UnitsReply GrantorRole::answer(const UnitsRequest &ask, Instant now)
+UnitsReply GrantorRole::answer(const UnitsRequest &request, Instant now)
 {
-    noteStandstill(now);
-    UnitsReply answer;
-    answer.member = m_self.member;
-    answer.requestId = ask.requestId;
-    const auto found = m_roles.find(ask.customer);
+    handleStall(now);
+    UnitsReply reply;
+    reply.member = m_self.member;
+    reply.requestId = request.requestId;
+    const auto found = m_roles.find(request.customer);
     if (found == m_roles.end())
-        return answer;
+        return reply;
     Role &role = found->second;
-    const bool mayTakeOver = ask.firstIsSilent && m_knowsFleet;
-    if (role.state == State::Elsewhere && mayTakeOver && isAmongFirst(ask.customer))
-        startClaim(ask.customer, role, now);
-    // One that reaches few others leaves the customer to the grantor of the rest.
-    if (role.state != State::Here || m_part <= 0) {
-        answer.outcome
+    const bool mayTakeOver = request.firstIsSilent && m_knowsFleet;
+    if (role.state == State::NotGrantor && mayTakeOver && isAmongHighestRanked(request.customer))
+        startClaim(request.customer, role, now);
+    // A daemon that reaches few others leaves the customer to the grantor of the rest.
+    if (role.state != State::Grantor || m_reachableFraction <= 0) {
+        reply.outcome
             = role.state == State::Claiming ? UnitsOutcome::Pending : UnitsOutcome::NotGrantor;
-        if (const LimitPeer *first = m_order.first(ask.customer); first && *first != m_self)
-            answer.grantor = *first;
-        return answer;
+        if (const LimitPeer *first = m_ranking.highestRanked(request.customer);
+            first && *first != m_self)
+            reply.grantor = *first;
+        return reply;
     }
     UnitBucket &bucket = role.bucket;
-    const UnitDemand claim {static_cast<double>(ask.units), ask.reservedThousandths / Thousandths};
-    const bool isGranted = ask.units == 0 || bucket.tryTake(claim, now);
-    answer.outcome = isGranted ? UnitsOutcome::Granted : UnitsOutcome::Refused;
+    const UnitDemand demand {static_cast<double>(request.units),
+                             request.reservedThousandths / Thousandths};
+    const bool isGranted = request.units == 0 || bucket.tryTake(demand, now);
+    reply.outcome = isGranted ? UnitsOutcome::Granted : UnitsOutcome::Refused;
     if (isGranted)
-        answer.units = ask.units + whole(bucket.takeAhead(static_cast<double>(ask.prefetch), now));
+        reply.units = request.units
+            + wholeUnits(bucket.takePrefetch(static_cast<double>(request.prefetch), now));
     else
-        answer.waitMs = millisecondsOf(bucket.timeUntil(claim, now));
-    answer.level = whole(bucket.level());
-    answer.bucket = whole(bucket.size());
-    answer.perSecond = whole(bucket.perSecond());
-    return answer;
+        reply.waitMs = millisecondsOf(bucket.timeUntilAvailable(demand, now));
+    reply.level = wholeUnits(bucket.level());
+    reply.bucket = wholeUnits(bucket.size());
+    reply.perSecond = wholeUnits(bucket.perSecond());
+    return reply;
 }
 
 void GrantorRole::take(const GrantorClaim &claim, Instant now)
 {
-    noteStandstill(now);
+    handleStall(now);
     const auto found = m_roles.find(claim.customer);
     if (found == m_roles.end())
         return;
     Role &role = found->second;
-    // After a partition, the one that hasn't reached the whole fleet yet might grant but a part.
-    const bool reachesLess = role.state == State::Here && claim.reachesFleet && !reachesFleet();
+    // After a partition, a grantor that doesn't reach the whole fleet yet could grant only a
+    // fraction of the limit.
+    const bool reachesLess = role.state == State::Grantor && claim.reachesFleet && !reachesFleet();
     if (reachesLess)
-        role.restsUntil = now + RestTime;
-    if (reachesLess || m_order.isBefore(claim.sender, m_self, claim.customer))
+        role.noClaimBefore = now + ReclaimDelay;
+    if (reachesLess || m_ranking.ranksBefore(claim.sender, m_self, claim.customer))
         yield(claim, role, now);
     else
         claimFrom(claim, role, now);
@@ -273,15 +281,15 @@
 
 void GrantorRole::yield(const GrantorClaim &claim, Role &role, Instant now)
 {
-    if (role.state == State::Here) {
+    if (role.state == State::Grantor) {
         handOver(claim, role, now);
         return;
     }
-    // Both would start from an empty bucket, and fill two.
-    role.state = State::Elsewhere;
-    role.kept = 0;
-    if (role.sent.claim == claim.claim)
-        m_messenger.send(claim.sender.address, role.sent);
+    // Otherwise both would start with an empty bucket and fill two.
+    role.state = State::NotGrantor;
+    role.retainedUnits = 0;
+    if (role.lastHandover.claim == claim.claim)
+        m_messenger.send(claim.sender.address, role.lastHandover);
     else
         deny(claim);
 }
@@ -298,34 +306,34 @@
     if (found == m_roles.end())
         return;
     Role &role = found->second;
-    if (role.state != State::Claiming || role.claim != denial.claim)
+    if (role.state != State::Claiming || role.claimId != denial.claim)
         return;
-    role.asked.erase(denial.member);
-    if (role.asked.empty() && isAllNew(now))
-        enter(denial.customer, role, 0, GrantorChange::TakenEmpty, now);
+    role.pendingDenials.erase(denial.member);
+    if (role.pendingDenials.empty() && hasFleetJustStarted(now))
+        becomeGrantor(denial.customer, role, 0, GrantorChange::TakenEmpty, now);
 }
 
 void GrantorRole::claimFrom(const GrantorClaim &claim, Role &role, Instant now)
 {
-    if (role.state == State::Elsewhere && mayClaim(claim.customer, role, now))
+    if (role.state == State::NotGrantor && mayClaim(claim.customer, role, now))
         startClaim(claim.customer, role, now);
-    if (role.state == State::Elsewhere)
+    if (role.state == State::NotGrantor)
         deny(claim);
-    // Two that differ about who goes first don't answer each other without a pause.
-    if (role.state == State::Elsewhere || now - role.answered < ClaimPause)
+    // Two daemons that disagree on the ranking must not answer each other without a pause.
+    if (role.state == State::NotGrantor || now - role.lastClaimAnswer < ClaimInterval)
         return;
-    role.answered = now;
+    role.lastClaimAnswer = now;
     m_messenger.send(claim.sender.address,
-                     GrantorClaim {m_self, role.claim, claim.customer, reachesFleet()});
+                     GrantorClaim {m_self, role.claimId, claim.customer, reachesFleet()});
 }
 
-bool GrantorRole::isNew(std::uint64_t handover)
+bool GrantorRole::isNewHandover(std::uint64_t handover)
 {
-    if (std::ranges::find(m_taken, handover) != m_taken.end())
+    if (std::ranges::find(m_appliedHandovers, handover) != m_appliedHandovers.end())
         return false;
-    m_taken.push_back(handover);
-    if (m_taken.size() > RememberedHandovers)
-        m_taken.pop_front();
+    m_appliedHandovers.push_back(handover);
+    if (m_appliedHandovers.size() > RememberedHandovers)
+        m_appliedHandovers.pop_front();
     return true;
 }
 
@@ -335,14 +343,15 @@
     if (found == m_roles.end())
         return;
     Role &role = found->second;
-    if (handover.claim != role.claim || !isNew(handover.handover))
+    if (handover.claim != role.claimId || !isNewHandover(handover.handover))
         return;
     const auto level = static_cast<double>(handover.level);
-    if (role.state == State::Here)
+    if (role.state == State::Grantor)
         role.bucket.add(level, now);
     else if (role.state == State::Claiming)
-        enter(handover.customer, role, level, GrantorChange::TakenOver, now);
-    // Whoever has yielded meanwhile loses it; the customer's next grantor starts empty.
+        becomeGrantor(handover.customer, role, level, GrantorChange::TakenOver, now);
+    // A daemon that has yielded in the meantime drops the units; the customer's next grantor starts
+    // empty.
 }
 
 } // namespace Apricothook
--- a/packages/dispatch/apricothook/dispatch/apricothook_grantor_role.hpp
+++ b/packages/dispatch/apricothook/dispatch/apricothook_grantor_role.hpp
@@ -12,16 +12,16 @@
 
 namespace Apricothook {
 
-/** How a daemon came to grant a customer's units, or ceased to. */
+/** How a daemon became a customer's grantor, or ceased to be it. */
 enum class GrantorChange {
-    TakenOver,  ///< Another daemon handed over what it had left.
-    TakenEmpty, ///< Nobody answered; the bucket starts empty.
-    HandedOver, ///< Another daemon claimed it.
+    TakenOver,  ///< Another daemon handed over its remaining units.
+    TakenEmpty, ///< No other daemon answered; the bucket starts empty.
+    HandedOver, ///< Another daemon claimed the customer.
 };
 
 std::string_view nameOf(GrantorChange change);
 
-/** Is told when this daemon becomes a customer's grantor or ceases to be it. */
+/** Notified when this daemon becomes or ceases to be a customer's grantor. */
 class GrantorListener
 {
 public:
@@ -30,126 +30,142 @@
 };
 
 /**
- * The customers whose units this daemon grants.
+ * Manages the customers whose units this daemon grants.
  *
- * A unit is made in one bucket, at one daemon at a time, and is taken from it before anybody may
- * use it. A new grantor starts empty unless the former one handed over what it had left, so what
- * both grant together is what one bucket gives. A message that is lost loses units and makes none.
+ * Units are created in a single bucket, at one daemon at a time, and are taken from it before a
+ * request may use them. A new grantor starts empty unless the former one handed over its remaining
+ * units, so both together grant what one bucket allows. A lost message loses units but never
+ * creates any.
  *
- * Whoever goes first by GrantorOrder claims the customer from those that come next and waits
- * ClaimTime for an answer. A daemon that is asked because those before it are
- * silent does the same. Of two that want a customer, the one that goes after the other yields, and
- * hands over what it has.
+ * The daemon that ranks first by GrantorRanking claims the customer from those that rank next and
+ * waits ClaimTimeout for an answer. A daemon that is asked for units because those before it are
+ * silent does the same. If two daemons claim a customer, the lower-ranked one yields and hands over
+ * its units.
  */
 class GrantorRole
 {
 public:
     /**
-     * A new grantor waits so long for the former one to hand over, and callers wait with it. Three
-     * claims fit in, so that a lost datagram doesn't empty the bucket.
+     * Time for which a new grantor, and callers with it, wait for the former one to hand over.
+     * Three claims fit in, so that a lost datagram doesn't empty the bucket.
      */
-    static constexpr std::chrono::milliseconds ClaimTime {240};
-    static constexpr std::chrono::milliseconds ClaimPause {80};
-    /** Who handed over as it reached a part of the fleet only claims no sooner than this, or when
-     * it reaches all. */
-    static constexpr std::chrono::seconds RestTime {5};
+    static constexpr std::chrono::milliseconds ClaimTimeout {240};
+    static constexpr std::chrono::milliseconds ClaimInterval {80};
     /**
-     * Time after a start of all daemons in which nobody was a grantor yet. They take most of it to
-     * know each other; the first bucket is filled for it, as all callers come back at once.
+     * Time before a daemon that handed over because it reached only part of the fleet claims again,
+     * unless it reaches the whole fleet earlier.
+     */
+    static constexpr std::chrono::seconds ReclaimDelay {5};
+    /**
+     * Time after a start of all daemons in which there was no grantor yet. Discovery takes most of
+     * it. The first bucket is filled for this time, because all callers come back at once.
      */
     static constexpr std::chrono::milliseconds LongestVacancy {1500};
-    /** Without a review for so long this daemon has stood still, and may have been replaced. */
-    static constexpr std::chrono::milliseconds StandstillTime {500};
+    /** Without a review for this long the daemon was stalled and may have been replaced. */
+    static constexpr std::chrono::milliseconds StallTimeout {500};
 
     GrantorRole(LimitPeer self, LimitMessenger &messenger, GrantorListener &listener,
                 RandomSource &random);
 
-    /** Customers without a limit, and those that are gone, have no grantor. */
+    /** Customers without a limit and removed customers have no grantor. */
     void setCustomers(const std::vector<CustomerRule> &customers, const FleetBounds &bounds,
                       Instant now);
-    /** `startedTogether`: when this daemon started, if all others started with it. */
+    /** `startedTogether`: start time of this daemon if all others started with it. */
     void setMembers(std::vector<GrantorCandidate> members,
                     std::optional<Instant> startedTogether = std::nullopt);
-    /** Part of the fleet that this daemon reaches, 0 to 1. */
-    void setReachableFraction(double part, Instant now);
-    /** `knowsFleet`: this daemon has heard of the others, so it may take a customer. */
+    /**
+     * Sets the fraction of the customers' limits that this daemon may grant, from
+     * limitFractionOf().
+     */
+    void setReachableFraction(double fraction, Instant now);
+    /** `knowsFleet`: this daemon has heard from the others, so it may claim customers. */
     void review(bool knowsFleet, Instant now);
-    /** When review() has a claim to repeat or to end; nothing while there is none. */
+    /** Next time at which review() has to repeat or end a claim; empty if there is none. */
     std::optional<Instant> nextReview() const;
 
     bool isGrantor(std::uint64_t customer) const;
-    /** This daemon may become a grantor: its reach is to be known. */
-    bool isCandidate() const { return m_order.isCandidate(m_self); }
-    UnitsReply answer(const UnitsRequest &ask, Instant now);
+    /** Whether this daemon may become a grantor, so that its reachability must be estimated. */
+    bool isCandidate() const { return m_ranking.isCandidate(m_self); }
+    UnitsReply answer(const UnitsRequest &request, Instant now);
     void take(const GrantorClaim &claim, Instant now);
     void take(const GrantorHandover &handover, Instant now);
     /**
-     * When all that were asked have denied right after a start of all daemons, the claim waits no
-     * longer. Later a daemon that this one doesn't think of may be the grantor, and tell it.
+     * Right after a start of all daemons, a claim ends as soon as every daemon that was asked has
+     * denied it. Later, a daemon that isn't known here may be the grantor and still answer.
      */
     void take(const GrantorDenial &denial, Instant now);
-    const GrantorOrder &order() const { return m_order; }
+    const GrantorRanking &ranking() const { return m_ranking; }
 
 private:
-    enum class State { Elsewhere, Claiming, Here };
+    enum class State { NotGrantor, Claiming, Grantor };
 
     struct Role
     {
-        State state = State::Elsewhere;
+        State state = State::NotGrantor;
         CustomerBudget budget;
         UnitBucket bucket;
-        /** Own units that are kept while another grantor is looked for. */
-        double kept = 0;
-        /** When the present state began. */
-        Instant since {};
+        /** Own units that are retained while another grantor is searched for. */
+        double retainedUnits = 0;
+        /** When the current state began. */
+        Instant stateSince {};
         /** When a claim was last sent. */
-        Instant claimed {};
-        /** No claim before, unless the whole fleet is reached. */
-        Instant restsUntil {};
-        /** When a claim was last answered with one of this daemon. */
-        Instant answered {};
-        std::uint64_t claim = 0;
-        /** Members that were asked and haven't denied. */
-        std::set<std::uint64_t> asked;
-        /** The last one sent; sent again when its claim comes again. */
-        GrantorHandover sent;
+        Instant lastClaim {};
+        /** No claim is sent before this, unless the whole fleet is reached. */
+        Instant noClaimBefore {};
+        /** When a claim was last answered with a claim of this daemon. */
+        Instant lastClaimAnswer {};
+        std::uint64_t claimId = 0;
+        /** Members that were asked and haven't denied the claim. */
+        std::set<std::uint64_t> pendingDenials;
+        /** The last handover sent; repeated if its claim is received again. */
+        GrantorHandover lastHandover;
     };
 
-    bool reachesFleet() const { return m_part >= 1; }
-    bool isFirst(std::uint64_t customer) const;
+    bool reachesFleet() const { return m_reachableFraction >= 1; }
+    bool ranksFirst(std::uint64_t customer) const;
     bool mayClaim(std::uint64_t customer, const Role &role, Instant now) const;
-    /** Claims of such daemons reach each other, so that all but one of them yield. */
-    bool isAmongFirst(std::uint64_t customer) const;
+    /**
+     * Whether this daemon is among the highest-ranked ones, whose claims reach each other, so that
+     * all but one of them yield.
+     */
+    bool isAmongHighestRanked(std::uint64_t customer) const;
     void review(std::uint64_t customer, Role &role, Instant now);
-    /** All daemons have started a moment ago; nobody granted before. */
-    bool isAllNew(Instant now) const;
-    /** Since when nobody but a former grantor that lives unheard can have granted. */
+    /** Whether all daemons have just started, so that no units were granted before. */
+    bool hasFleetJustStarted(Instant now) const;
+    /**
+     * Time since which no daemon but a former grantor that is alive and unheard can have granted.
+     */
     Instant vacantSince(const Role &role, Instant now) const;
-    /** Another daemon may have taken all customers while this one stood still. */
-    void noteStandstill(Instant now);
+    /**
+     * Claims all customers again if this daemon was stalled: another one may have taken them over.
+     */
+    void handleStall(Instant now);
     void startClaim(std::uint64_t customer, Role &role, Instant now);
     void deny(const GrantorClaim &claim);
     void sendClaim(std::uint64_t customer, Role &role, Instant now);
-    void enter(std::uint64_t customer, Role &role, double level, GrantorChange change, Instant now);
+    void becomeGrantor(std::uint64_t customer, Role &role, double level, GrantorChange change,
+                       Instant now);
     void handOver(const GrantorClaim &claim, Role &role, Instant now);
-    /** Lets the sender, which goes before this daemon, have the customer. */
+    /** Leaves the customer to the sender, which ranks before this daemon. */
     void yield(const GrantorClaim &claim, Role &role, Instant now);
-    /** Wants the customer of the sender, which goes after this daemon and may be its grantor. */
+    /**
+     * Claims the customer from the sender, which ranks after this daemon and may be its grantor.
+     */
     void claimFrom(const GrantorClaim &claim, Role &role, Instant now);
-    bool isNew(std::uint64_t handover);
+    bool isNewHandover(std::uint64_t handover);
 
     const LimitPeer m_self;
     LimitMessenger &m_messenger;
     GrantorListener &m_listener;
     RandomSource &m_random;
-    GrantorOrder m_order;
+    GrantorRanking m_ranking;
     std::map<std::uint64_t, Role> m_roles;
     bool m_knowsFleet = false;
     std::optional<Instant> m_startedTogether;
-    Instant m_reviewed {};
-    double m_part = 1;
-    /** Handovers that were counted. */
-    std::deque<std::uint64_t> m_taken;
+    Instant m_lastReview {};
+    double m_reachableFraction = 1;
+    /** Handovers that were applied. */
+    std::deque<std::uint64_t> m_appliedHandovers;
 };
 
 } // namespace Apricothook
--- a/packages/dispatch/apricothook/dispatch/apricothook_limit_messages.hpp
+++ b/packages/dispatch/apricothook/dispatch/apricothook_limit_messages.hpp
@@ -7,12 +7,12 @@
 
 namespace Apricothook {
 
-/** A daemon as those who share customers' limits name and reach it. */
+/** A daemon as identified and addressed in messages about customers' limits. */
 struct LimitPeer
 {
-    /** memberHash() of its name. */
+    /** memberHash() of the daemon's name. */
     std::uint64_t member = 0;
-    /** Where it receives datagrams of other daemons. */
+    /** Address at which it receives datagrams of other daemons. */
     Endpoint address;
 
     template <typename Archive, typename Self>
@@ -23,20 +23,20 @@
     auto operator<=>(const LimitPeer &) const = default;
 };
 
-/** A daemon wants units of a customer. */
+/** Requests units of a customer. */
 struct UnitsRequest
 {
     LimitPeer sender;
-    /** The sender's number of this question. */
+    /** Number of this message at the sender. */
     std::uint64_t requestId = 0;
-    std::uint64_t customer = 0; ///< customerHash() of the name.
-    /** For a request that waits for them. */
+    std::uint64_t customer = 0; ///< customerHash() of the customer's name.
+    /** Units for a request that is waiting for them. */
     std::uint64_t units = 0;
-    /** For requests that are expected; given while the bucket is more than half full. */
+    /** Units for requests that are expected; granted while the bucket is more than half full. */
     std::uint64_t prefetch = 0;
-    /** Part of the bucket to be left to others, in thousandths. */
+    /** Fraction of the bucket to be left to others, in thousandths. */
     std::uint32_t reservedThousandths = 0;
-    /** The daemon that goes first doesn't answer the sender. */
+    /** The daemon that ranks first doesn't answer the sender. */
     bool firstIsSilent = false;
 
     template <typename Archive, typename Self>
@@ -48,12 +48,12 @@
     auto operator<=>(const UnitsRequest &) const = default;
 };
 
-/** What a daemon says to a question for units. */
+/** Outcome of a request for units. */
 enum class UnitsOutcome : std::uint8_t {
     Granted,
     Refused,    ///< The customer is over its limit.
     Pending,    ///< The answering daemon is about to become the customer's grantor.
-    NotGrantor, ///< It isn't the customer's grantor.
+    NotGrantor, ///< The answering daemon isn't the customer's grantor.
 };
 
 constexpr bool isKnown(UnitsOutcome outcome)
@@ -73,16 +73,15 @@
     std::uint64_t member = 0; ///< memberHash() of the answering daemon.
     std::uint64_t requestId = 0;
     UnitsOutcome outcome = UnitsOutcome::NotGrantor;
-    /** With what was asked ahead; zero unless granted. */
+    /** Includes prefetched units; zero unless granted. */
     std::uint64_t units = 0;
-    /** What the bucket holds, after this. */
+    /** Units left in the bucket after this answer. */
     std::uint64_t level = 0;
     std::uint64_t bucket = 0;
     std::uint64_t perSecond = 0;
-    /** Until the bucket has what was refused. */
+    /** Milliseconds until the bucket holds the refused units. */
     std::uint32_t waitMs = 0;
-    /** Whom the answering daemon takes for the grantor; without an address when it grants itself.
-     */
+    /** The grantor as known to the answering daemon; without an address if it grants itself. */
     LimitPeer grantor;
 
     template <typename Archive, typename Self>
@@ -94,13 +93,15 @@
     auto operator<=>(const UnitsReply &) const = default;
 };
 
-/** The sender is to be the customer's grantor; whoever is it now hands over what it has left. */
+/**
+ * The sender is to become the customer's grantor; the current one hands over its remaining units.
+ */
 struct GrantorClaim
 {
     LimitPeer sender;
-    std::uint64_t claim = 0; ///< Names this claim, over all daemons and processes.
+    std::uint64_t claim = 0; ///< Identifies this claim across all daemons and processes.
     std::uint64_t customer = 0;
-    /** The sender reaches so much of the fleet that it would grant all of the limit. */
+    /** The sender reaches enough of the fleet to grant the full limit. */
     bool reachesFleet = true;
 
     template <typename Archive, typename Self>
@@ -111,12 +112,12 @@
     auto operator<=>(const GrantorClaim &) const = default;
 };
 
-/** What a customer's grantor had left when it stopped granting. */
+/** The units that a customer's grantor had left when it stopped granting. */
 struct GrantorHandover
 {
-    /** Names this handover; a datagram that comes twice counts once. */
+    /** Identifies this handover; a duplicated datagram counts once. */
     std::uint64_t handover = 0;
-    /** The claim that it answers. */
+    /** The claim that this message answers. */
     std::uint64_t claim = 0;
     std::uint64_t customer = 0;
     std::uint64_t level = 0;
@@ -129,11 +130,11 @@
     auto operator<=>(const GrantorHandover &) const = default;
 };
 
-/** The sender isn't the customer's grantor, and leaves it to whoever claims it. */
+/** The sender isn't the customer's grantor and leaves the customer to the claiming daemon. */
 struct GrantorDenial
 {
     std::uint64_t member = 0; ///< memberHash() of the sender.
-    /** The claim that it answers. */
+    /** The claim that this message answers. */
     std::uint64_t claim = 0;
     std::uint64_t customer = 0;
 
@@ -148,7 +149,7 @@
 using LimitMessage
     = std::variant<UnitsRequest, UnitsReply, GrantorClaim, GrantorHandover, GrantorDenial>;
 
-/** Carries messages about limits to other daemons; each may be lost, late or come twice. */
+/** Sends messages about limits to other daemons; each may be lost, delayed or duplicated. */
 class LimitMessenger
 {
 public:
--- a/packages/dispatch/apricothook/dispatch/apricothook_limit_reserve.cpp
+++ b/packages/dispatch/apricothook/dispatch/apricothook_limit_reserve.cpp
@@ -6,14 +6,15 @@
 
 void LimitReserve::recordUnits(LimitUnit unit, const RouteRule &route, double units)
 {
-    WorthOrder &order = unit == LimitUnit::Tokens ? m_byTokens : m_byRequests;
-    order.note(route.name, route.tier, units);
+    RouteValueRanking &order = unit == LimitUnit::Tokens ? m_byTokens : m_byRequests;
+    order.recordCost(route.name, route.tier, units);
 }
 
 double LimitReserve::reservedFraction(LimitUnit unit, const RouteRule &route) const
 {
-    const WorthOrder &order = unit == LimitUnit::Tokens ? m_byTokens : m_byRequests;
-    return std::min(PartForEachHalving * order.halvings(route.name, route.tier), MostReserved);
+    const RouteValueRanking &order = unit == LimitUnit::Tokens ? m_byTokens : m_byRequests;
+    return std::min(FractionPerHalving * order.halvingsBelowBest(route.name, route.tier),
+                    LargestReservedFraction);
 }
 
 } // namespace Apricothook
--- a/packages/dispatch/apricothook/dispatch/apricothook_local_units.cpp
+++ b/packages/dispatch/apricothook/dispatch/apricothook_local_units.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-/** Short enough to follow a surge, long enough to see some requests of a usual customer. */
-constexpr double RateSeconds = 1;
+/** Short enough to follow a surge, long enough to cover some requests of a typical customer. */
+constexpr double RateDecaySeconds = 1;
 
 double secondsBetween(Instant from, Instant to)
 {
@@ -18,12 +18,12 @@
 
 } // namespace
 
-void UnitStock::add(double units, Instant until)
+void LocalUnits::add(double units, Instant until)
 {
     m_grants.push_back({units, until});
 }
 
-double UnitStock::granted(Instant now)
+double LocalUnits::granted(Instant now)
 {
     std::erase_if(m_grants, [now](const Grant &grant) { return grant.until <= now; });
     double sum = 0;
@@ -32,44 +32,44 @@
     return sum;
 }
 
-bool UnitStock::tryTake(double units, Instant now)
+bool LocalUnits::tryTake(double units, Instant now)
 {
     if (granted(now) < units)
         return false;
-    for (double left = units; left > 0;) {
-        const double taken = std::min(left, m_grants.front().units);
+    for (double remaining = units; remaining > 0;) {
+        const double taken = std::min(remaining, m_grants.front().units);
         m_grants.front().units -= taken;
-        left -= taken;
+        remaining -= taken;
         if (m_grants.front().units <= 0)
             m_grants.pop_front();
     }
     return true;
 }
 
-bool UnitStock::tryTakeCredit(double units, const CustomerBudget &budget, std::size_t daemons,
-                              Instant now)
+bool LocalUnits::tryTakeCredit(double units, const CustomerBudget &budget, std::size_t daemons,
+                               Instant now)
 {
-    const double part = 1.0 / static_cast<double>(std::max<std::size_t>(daemons, 1));
-    const double back
-        = secondsBetween(std::exchange(m_creditChanged, now), now) * budget.creditPerSecond * part;
-    m_creditUsed = std::max(m_creditUsed - back, 0.0);
-    if (m_creditUsed + units > budget.credit * part)
+    const double share = 1.0 / static_cast<double>(std::max<std::size_t>(daemons, 1));
+    const double refilled
+        = secondsBetween(std::exchange(m_creditUpdated, now), now) * budget.creditPerSecond * share;
+    m_usedCredit = std::max(m_usedCredit - refilled, 0.0);
+    if (m_usedCredit + units > budget.credit * share)
         return false;
-    m_creditUsed += units;
+    m_usedCredit += units;
     return true;
 }
 
-void UnitStock::noteAdmitted(double units, Instant now)
+void LocalUnits::recordAdmitted(double units, Instant now)
 {
-    const double kept
-        = std::exp(-secondsBetween(std::exchange(m_rateChanged, now), now) / RateSeconds);
-    m_rate = m_rate * kept + units / RateSeconds;
+    const double decay
+        = std::exp(-secondsBetween(std::exchange(m_rateUpdated, now), now) / RateDecaySeconds);
+    m_rate = m_rate * decay + units / RateDecaySeconds;
 }
 
-double UnitStock::expected(Duration time, Instant now)
+double LocalUnits::expectedDemand(Duration time, Instant now)
 {
-    const double kept = std::exp(-secondsBetween(m_rateChanged, now) / RateSeconds);
-    return m_rate * kept * std::chrono::duration<double>(time).count();
+    const double decay = std::exp(-secondsBetween(m_rateUpdated, now) / RateDecaySeconds);
+    return m_rate * decay * std::chrono::duration<double>(time).count();
 }
 
 } // namespace Apricothook
--- a/packages/dispatch/apricothook/dispatch/apricothook_local_units.hpp
+++ b/packages/dispatch/apricothook/dispatch/apricothook_local_units.hpp
@@ -8,25 +8,25 @@
 namespace Apricothook {
 
 /**
- * The units of one customer that a daemon may use: those that were granted to it, and its part of
- * the credit for the time in which no grantor answers.
+ * The units of one customer that a daemon may use: those granted to it, and its share of the credit
+ * for times when no grantor answers.
  */
-class UnitStock
+class LocalUnits
 {
 public:
-    /** Units that a grantor took from the bucket; void at `until`. */
+    /** Adds units that a grantor took from the bucket; they expire at `until`. */
     void add(double units, Instant until);
-    /** Takes from what was granted. */
+    /** Takes units that were granted. */
     bool tryTake(double units, Instant now);
-    /** Takes from the credit, of which this daemon has one part in `daemons`. */
+    /** Takes units of the credit, of which this daemon has one share in `daemons`. */
     bool tryTakeCredit(double units, const CustomerBudget &budget, std::size_t daemons,
                        Instant now);
     double granted(Instant now);
 
-    /** Notes what was admitted, for expected(). */
-    void noteAdmitted(double units, Instant now);
-    /** What the next `time` is expected to ask, from what was lately admitted. */
-    double expected(Duration time, Instant now);
+    /** Records admitted units for expectedDemand(). */
+    void recordAdmitted(double units, Instant now);
+    /** Units that requests are expected to need within the next `time`, from recent admissions. */
+    double expectedDemand(Duration time, Instant now);
 
 private:
     struct Grant
@@ -36,12 +36,12 @@
     };
 
     std::deque<Grant> m_grants;
-    /** Units of the credit that were used and have not come back. */
-    double m_creditUsed = 0;
-    Instant m_creditChanged {};
-    /** Units a second, decaying over RateTime. */
+    /** Units of the credit that were used and aren't refilled yet. */
+    double m_usedCredit = 0;
+    Instant m_creditUpdated {};
+    /** Units per second, decaying over RateDecaySeconds. */
     double m_rate = 0;
-    Instant m_rateChanged {};
+    Instant m_rateUpdated {};
 };
 
 } // namespace Apricothook
--- a/packages/dispatch/apricothook/dispatch/apricothook_policy_switches.hpp
+++ b/packages/dispatch/apricothook/dispatch/apricothook_policy_switches.hpp
@@ -9,32 +9,38 @@
 namespace Apricothook {
 
 /**
- * The decisions that can be switched off, to measure what each is worth. All are on unless the
- * command line says otherwise; docs/DECISIONS.md has the figures.
+ * Policies that can be switched off to measure the effect of each. All are on unless the command
+ * line says otherwise; docs/DECISIONS.md has the figures.
  */
 struct PolicySwitches
 {
-    bool waiting = true;     ///< Without: what finds no room is refused at once.
-    bool urgency = true;     ///< Without: a service's routes are ordered by their tiers alone.
-    bool lateReturn = true;  ///< Without: refused callers come back by the queue's length.
-    bool sizeOrder = true;   ///< Without: a route's requests are taken in order of arrival.
-    bool othersFirst = true; ///< Without: a free slot isn't left to other daemons' urgent requests.
-    bool forecast = true;    ///< Without: the target with the smallest part of its slots taken.
-    bool scarcity = true;    ///< Without: a target's last slot is as cheap as its first.
-    bool avoidance = true;   ///< Without: targets that fail are chosen like others.
-    bool repeats = true;     ///< Without: a request is sent to one target only.
-    bool limitReserve = true; ///< Without: a customer's units go to what comes first.
+    bool waiting = true; ///< If off: requests that find no free slot are refused at once.
+    bool urgency = true; ///< If off: a service's routes are ordered by their tiers alone.
+    bool lateReturn
+        = true; ///< If off: refused callers retry after a delay based on the queue's length.
+    bool sizeOrder = true; ///< If off: a route's requests are served in order of arrival.
+    bool othersFirst
+        = true; ///< If off: free slots aren't left to more urgent requests of other daemons.
+    bool forecast
+        = true; ///< If off: the target with the smallest fraction of used slots is chosen.
+    bool scarcity = true;     ///< If off: a target's last slot costs as little as its first.
+    bool avoidance = true;    ///< If off: failing targets are chosen like any other.
+    bool repeats = true;      ///< If off: a request is sent to one target only.
+    bool limitReserve = true; ///< If off: a customer's units are granted in order of arrival.
 
     auto operator<=>(const PolicySwitches &) const = default;
 };
 
-/** A name that is no policy's. */
+/** The given name is that of no policy. */
 struct UnknownPolicy
 {
     std::string name;
 };
 
-/** All on but those that are named, in the words of the fields with dashes ("limit-reserve"). */
+/**
+ * Switches on all policies but the named ones. A name is that of the field, with dashes
+ * ("limit-reserve").
+ */
 Result<PolicySwitches, UnknownPolicy> policiesWithout(const std::vector<std::string> &names);
 
 } // namespace Apricothook
--- a/packages/dispatch/apricothook/dispatch/apricothook_reachability_estimator.cpp
+++ b/packages/dispatch/apricothook/dispatch/apricothook_reachability_estimator.cpp
@@ -6,16 +6,18 @@
 
 namespace {
 
-/** Reach up to which nothing is given out, and from which on all is. */
-constexpr double SmallestSide = 0.4;
-constexpr double LargestSide = 0.65;
+/**
+ * Reachable fraction up to which nothing is granted, and from which on the full limit is granted.
+ */
+constexpr double LowestGrantingReach = 0.4;
+constexpr double FullGrantingReach = 0.65;
 
 } // namespace
 
 void ReachabilityEstimator::sent(std::uint64_t probe, Instant now)
 {
     std::erase_if(m_probes, [now](const auto &entry) {
-        return entry.second.sent < now - LongWindow - AnswerTime;
+        return entry.second.sent < now - LongWindow - AnswerTimeout;
     });
     m_probes[probe] = {now, false};
 }
@@ -30,30 +32,33 @@
 double ReachabilityEstimator::reachableFraction(std::size_t known, std::size_t daemons,
                                                 Instant now) const
 {
-    const double answered = std::min(reachWithin(ShortWindow, now), reachWithin(LongWindow, now));
-    const auto all = static_cast<double>(std::max(known + 1, daemons));
-    return (answered * static_cast<double>(known) + 1) / all;
+    const double answered
+        = std::min(answeredFraction(ShortWindow, now), answeredFraction(LongWindow, now));
+    const auto total = static_cast<double>(std::max(known + 1, daemons));
+    return (answered * static_cast<double>(known) + 1) / total;
 }
 
-double ReachabilityEstimator::reachWithin(Duration window, Instant now) const
+double ReachabilityEstimator::answeredFraction(Duration window, Instant now) const
 {
     std::size_t counted = 0;
     std::size_t answered = 0;
     for (const auto &[number, probe] : m_probes) {
-        // Answers of the youngest come first; to count them alone would hide a cut.
-        if (probe.sent < now - window - AnswerTime || now - probe.sent < AnswerTime)
+        // Among the youngest probes only the answered ones are known; counting them would hide a
+        // partition.
+        if (probe.sent < now - window - AnswerTimeout || now - probe.sent < AnswerTimeout)
             continue;
         ++counted;
         answered += probe.isAnswered ? 1 : 0;
     }
-    if (counted < FewestProbes)
+    if (counted < MinimumProbes)
         return 1;
     return static_cast<double>(answered) / static_cast<double>(counted);
 }
 
 double limitFractionOf(double reach)
 {
-    return std::clamp((reach - SmallestSide) / (LargestSide - SmallestSide), 0.0, 1.0);
+    return std::clamp((reach - LowestGrantingReach) / (FullGrantingReach - LowestGrantingReach),
+                      0.0, 1.0);
 }
 
 } // namespace Apricothook
--- a/packages/dispatch/apricothook/dispatch/apricothook_reachability_estimator.hpp
+++ b/packages/dispatch/apricothook/dispatch/apricothook_reachability_estimator.hpp
@@ -8,28 +8,33 @@
 namespace Apricothook {
 
 /**
- * Which part of the fleet a grantor reaches, from probes to members drawn at random. It shows a
- * partition within a second in a fleet of any size, where word of single members takes longer.
+ * Estimates the fraction of the fleet that a grantor reaches, by probes to randomly drawn members.
+ * This shows a partition within a second in a fleet of any size, whereas the loss of single members
+ * takes longer to detect.
  */
 class ReachabilityEstimator
 {
 public:
-    /** Shows a cut soon, with some two dozen probes at eight each round. */
+    /** Detects a partition quickly, with some two dozen probes at eight per round. */
     static constexpr std::chrono::milliseconds ShortWindow {600};
-    /** Chance alters its eighty probes little; a cut's end shows that much later. */
+    /**
+     * Its eighty probes vary little by chance, but the end of a partition is detected that much
+     * later.
+     */
     static constexpr std::chrono::milliseconds LongWindow {2000};
-    /** A probe that isn't answered by then counts as unanswered. */
-    static constexpr std::chrono::milliseconds AnswerTime {150};
-    /** Fewer probes tell nothing; the fleet counts as reached. */
-    static constexpr std::size_t FewestProbes = 4;
-    /** Members that are probed in a round. */
+    /** A probe that isn't answered within this time counts as unanswered. */
+    static constexpr std::chrono::milliseconds AnswerTimeout {150};
+    /** With fewer probes there is no estimate, and the whole fleet counts as reachable. */
+    static constexpr std::size_t MinimumProbes = 4;
+    /** Members that are probed per round. */
     static constexpr std::size_t ProbesPerRound = 8;
 
     void sent(std::uint64_t probe, Instant now);
     void answered(std::uint64_t probe);
     /**
-     * 0 to 1, this daemon counted with the `known` others that probes are drawn from; the lesser of
-     * what both windows show. Those of `daemons` that it no longer knows aren't reached.
+     * Reachable fraction of the fleet, 0 to 1: the smaller one of both windows, over this daemon
+     * and the `known` others that probes are drawn from. The rest of `daemons`, which this daemon
+     * no longer knows, counts as unreachable.
      */
     double reachableFraction(std::size_t known, std::size_t daemons, Instant now) const;
 
@@ -40,15 +45,16 @@
         bool isAnswered = false;
     };
 
-    double reachWithin(Duration window, Instant now) const;
+    double answeredFraction(Duration window, Instant now) const;
 
     std::map<std::uint64_t, Probe> m_probes;
 };
 
 /**
- * Part of customers' limits that a grantor may give out that reaches so much of the fleet. Two
- * sides of a partition together have no more than the whole, less what chance may add to both. A
- * third that doesn't answer is taken for dead: if it lives cut off, it has no more than its credit.
+ * Fraction of the customers' limits that a grantor with this reachable fraction may grant. Two
+ * sides of a partition together get no more than the whole, less a margin for chance at both. If a
+ * third of the fleet doesn't answer, it is assumed to be dead; should it be alive behind a
+ * partition, it can use no more than its credit.
  */
 double limitFractionOf(double reach);
 
--- a/packages/dispatch/apricothook/dispatch/apricothook_recent_sends.hpp
+++ b/packages/dispatch/apricothook/dispatch/apricothook_recent_sends.hpp
@@ -7,7 +7,9 @@
 
 namespace Apricothook {
 
-/** When this daemon sent requests to one target, as far as bounds for any one second need it. */
+/**
+ * Times at which this daemon sent requests to one target, as long as a per-second limit needs them.
+ */
 class RecentSends
 {
 public:
@@ -15,10 +17,10 @@
 
     void add(Instant now)
     {
-        forgetOld(now);
+        dropExpired(now);
         m_times.push_back(now);
     }
-    /** Sends in the window that ends now. */
+    /** Number of sends in the window that ends now. */
     std::uint32_t count(Instant now) const
     {
         std::uint32_t sends = 0;
@@ -29,7 +31,7 @@
 
 private:
     static bool isWithin(Instant time, Instant now) { return now - time <= Window; }
-    void forgetOld(Instant now)
+    void dropExpired(Instant now)
     {
         while (!m_times.empty() && !isWithin(m_times.front(), now))
             m_times.pop_front();
--- a/packages/dispatch/apricothook/dispatch/apricothook_route_table.cpp
+++ b/packages/dispatch/apricothook/dispatch/apricothook_route_table.cpp
@@ -22,7 +22,8 @@
     const auto routes = m_hosts.find(host);
     if (routes == m_hosts.end())
         return nullptr;
-    // Every prefix ends with a slash, so only the cuts of the path behind a slash can match.
+    // Every prefix ends with a slash, so only the parts of the path that end with a slash can
+    // match.
     for (std::size_t slash = path.rfind('/'); slash != std::string_view::npos;) {
         const auto found = routes->second.find(path.substr(0, slash + 1));
         if (found != routes->second.end())
--- a/packages/dispatch/apricothook/dispatch/apricothook_route_table.hpp
+++ b/packages/dispatch/apricothook/dispatch/apricothook_route_table.hpp
@@ -9,7 +9,7 @@
 
 namespace Apricothook {
 
-/** An immutable index of one configuration, shared by the requests that came under it. */
+/** An immutable index of one configuration, shared by the requests that are served under it. */
 class RouteTable
 {
 public:
@@ -18,9 +18,9 @@
     RouteTable &operator=(const RouteTable &) = delete;
 
     const ServingConfiguration &configuration() const { return m_configuration; }
-    /** The route of the host with the longest prefix of the path; null when there is none. */
+    /** Returns the host's route with the longest prefix of the path; null if there is none. */
     const RouteRule *route(std::string_view host, std::string_view path) const;
-    /** Null when no customer has the key. */
+    /** Null if no customer has the key. */
     const CustomerRule *customerOfKey(std::string_view key) const;
     const ServiceRule *service(const ServiceId &name) const;
     bool hasCustomers() const { return !m_configuration.customers.empty(); }
@@ -34,7 +34,7 @@
     std::map<ServiceId, const ServiceRule *> m_services;
 };
 
-/** The service for one request, by weight; `draw` is a uniform random number. */
+/** Selects the service for one request by weight; `draw` is a uniform random number. */
 const ServiceId &serviceOf(const RouteRule &route, std::uint64_t draw);
 
 } // namespace Apricothook
--- a/packages/dispatch/apricothook/dispatch/apricothook_route_urgency.cpp
+++ b/packages/dispatch/apricothook/dispatch/apricothook_route_urgency.cpp
@@ -7,8 +7,9 @@
 void RouteUrgency::recordHoldTime(const ServiceId &service, const ClassId &route, Tier tier,
                                   Duration held)
 {
-    WorthOrder &order = m_services.try_emplace(service, DefaultHold, ShortestHold).first->second;
-    order.note(route, tier, std::chrono::duration<double, std::milli>(held).count());
+    RouteValueRanking &order
+        = m_services.try_emplace(service, DefaultHoldTime, ShortestHoldTime).first->second;
+    order.recordCost(route, tier, std::chrono::duration<double, std::milli>(held).count());
 }
 
 Tier RouteUrgency::tierOf(const ServiceId &service, const ClassId &route, Tier tier) const
@@ -16,7 +17,7 @@
     const auto order = m_services.find(service);
     if (order == m_services.end())
         return tier;
-    const double rank = 1 + order->second.halvings(route, tier);
+    const double rank = 1 + order->second.halvingsBelowBest(route, tier);
     return Tier(static_cast<std::uint8_t>(std::min<double>(rank, LowestTierRank)));
 }
 
--- a/packages/dispatch/apricothook/dispatch/apricothook_route_urgency.hpp
+++ b/packages/dispatch/apricothook/dispatch/apricothook_route_urgency.hpp
@@ -8,26 +8,25 @@
 namespace Apricothook {
 
 /**
- * Orders the routes of a service by what their requests are worth for the time that they hold a
- * slot.
+ * Orders the routes of a service by the value of their requests per slot time.
  *
- * With room for only a part of the requests, strict tiers would shut out short work of a low tier
- * that takes almost nothing from the tiers above. The result is a tier again, one for each halving
- * of the worth.
+ * If there is capacity for only part of the requests, strict tiers would shut out short requests of
+ * a low tier that take almost nothing from the tiers above. The result is a tier again, one for
+ * each halving of the value.
  */
 class RouteUrgency
 {
 public:
-    /** Milliseconds until the first samples. */
-    static constexpr double DefaultHold = 500;
-    /** Milliseconds below which a hold is mostly the way to the target and back. */
-    static constexpr double ShortestHold = 10;
+    /** Milliseconds, until there are samples. */
+    static constexpr double DefaultHoldTime = 500;
+    /** Milliseconds; shorter times consist mostly of the round trip to the target. */
+    static constexpr double ShortestHoldTime = 10;
 
     void recordHoldTime(const ServiceId &service, const ClassId &route, Tier tier, Duration held);
     Tier tierOf(const ServiceId &service, const ClassId &route, Tier tier) const;
 
 private:
-    std::map<ServiceId, WorthOrder> m_services;
+    std::map<ServiceId, RouteValueRanking> m_services;
 };
 
 } // namespace Apricothook
--- a/packages/dispatch/apricothook/dispatch/apricothook_route_value_ranking.cpp
+++ b/packages/dispatch/apricothook/dispatch/apricothook_route_value_ranking.cpp
@@ -5,27 +5,28 @@
 
 namespace Apricothook {
 
-double WorthOrder::worth(Tier tier, const MovingMean &cost) const
+double RouteValueRanking::valuePerCost(Tier tier, const MovingAverage &cost) const
 {
-    const double spent = std::max(cost.value().value_or(m_usual), m_least);
-    return std::pow(TierFactor, -static_cast<double>(tier.rank())) / spent;
+    const double meanCost = std::max(cost.value().value_or(m_defaultCost), m_minimumCost);
+    return std::pow(TierFactor, -static_cast<double>(tier.rank())) / meanCost;
 }
 
-void WorthOrder::note(const ClassId &route, Tier tier, double cost)
+void RouteValueRanking::recordCost(const ClassId &route, Tier tier, double cost)
 {
-    Learned &learned = m_routes[route];
+    LearnedCost &learned = m_routes[route];
     learned.tier = tier;
-    learned.cost.add(cost);
+    learned.mean.add(cost);
 }
 
-double WorthOrder::halvings(const ClassId &route, Tier tier) const
+double RouteValueRanking::halvingsBelowBest(const ClassId &route, Tier tier) const
 {
     const auto own = m_routes.find(route);
-    const double worthOfOwn = worth(tier, own == m_routes.end() ? MovingMean() : own->second.cost);
-    double best = worthOfOwn;
+    const double ownValue
+        = valuePerCost(tier, own == m_routes.end() ? MovingAverage() : own->second.mean);
+    double bestValue = ownValue;
     for (const auto &[name, learned] : m_routes)
-        best = std::max(best, worth(learned.tier, learned.cost));
-    return std::floor(std::log2(best / worthOfOwn));
+        bestValue = std::max(bestValue, valuePerCost(learned.tier, learned.mean));
+    return std::floor(std::log2(bestValue / ownValue));
 }
 
 } // namespace Apricothook
--- a/packages/dispatch/apricothook/dispatch/apricothook_route_value_ranking.hpp
+++ b/packages/dispatch/apricothook/dispatch/apricothook_route_value_ranking.hpp
@@ -8,35 +8,44 @@
 namespace Apricothook {
 
 /**
- * Orders routes by the worth of their requests for what these cost, where there is room for only a
+ * Orders routes by the value of their requests per cost, for times when there is capacity for only
  * part of them. A tier counts TierFactor times the next one and is divided by the route's learned
- * mean cost. Single requests aren't told apart, or the largest of a route would never run.
+ * mean cost. Requests of one route aren't distinguished, or its largest would never run.
  */
-class WorthOrder
+class RouteValueRanking
 {
 public:
-    /** Worth of a tier against the one below it. */
+    /** Value of a tier relative to the one below it. */
     static constexpr double TierFactor = 4;
 
-    /** Costs are in one unit; `least` is the smallest that tells anything. */
-    WorthOrder(double usual, double least) : m_usual(usual), m_least(least) { }
+    /**
+     * All costs are in one unit; `defaultCost` applies until there are samples, and `minimumCost`
+     * is the smallest meaningful cost.
+     */
+    RouteValueRanking(double defaultCost, double minimumCost)
+        : m_defaultCost(defaultCost), m_minimumCost(minimumCost)
+    {
+    }
 
-    void note(const ClassId &route, Tier tier, double cost);
-    /** How often the worth of the best known route is twice that of this one, or more. */
-    double halvings(const ClassId &route, Tier tier) const;
+    void recordCost(const ClassId &route, Tier tier, double cost);
+    /**
+     * How many times the value of the best known route can be halved until it is less than twice
+     * that of this route.
+     */
+    double halvingsBelowBest(const ClassId &route, Tier tier) const;
 
 private:
-    struct Learned
+    struct LearnedCost
     {
         Tier tier;
-        MovingMean cost;
+        MovingAverage mean;
     };
 
-    double worth(Tier tier, const MovingMean &cost) const;
+    double valuePerCost(Tier tier, const MovingAverage &cost) const;
 
-    double m_usual;
-    double m_least;
-    std::map<ClassId, Learned> m_routes;
+    double m_defaultCost;
+    double m_minimumCost;
+    std::map<ClassId, LearnedCost> m_routes;
 };
 
 } // namespace Apricothook
--- a/packages/dispatch/apricothook/dispatch/apricothook_serving_configuration.hpp
+++ b/packages/dispatch/apricothook/dispatch/apricothook_serving_configuration.hpp
@@ -20,7 +20,7 @@
     auto operator<=>(const WeightedService &) const = default;
 };
 
-/** Where requests of one host below one path prefix go, and what may be done with them. */
+/** Which services requests of a host and path prefix go to, and how they may be handled. */
 struct RouteRule
 {
     ClassId name;
@@ -31,21 +31,21 @@
     Tier tier;
     /** From arrival to the final answer. */
     Duration timeout {};
-    /** Answers within it are worth most; streams are measured by their first event. */
+    /** Answers within this time have the highest value; for streams the first event counts. */
     Duration objective {};
-    /** Longest pause between events of a stream that is still on time. */
+    /** Longest gap between events of a stream that is still on time. */
     Duration gapObjective {};
-    /** Targets that may run one request. */
+    /** Number of targets that may run one request. */
     unsigned maximumAttempts = 1;
     bool isStream = false;
-    /** A second run does no harm. */
+    /** Running the request twice does no harm. */
     bool isIdempotent = false;
-    /** Another target can go on after the last event. */
+    /** Another target can continue after the last event. */
     bool isResumable = false;
-    /** Needs no customer's key. */
+    /** No customer key is required. */
     bool isPublic = false;
 
-    /** A request that was sent to one target may be sent to another. */
+    /** Whether a request that was sent to one target may be sent to another. */
     bool isRetryable() const { return isStream ? isResumable : isIdempotent; }
     auto operator<=>(const RouteRule &) const = default;
 };
@@ -53,15 +53,17 @@
 struct ServiceRule
 {
     ServiceId name;
-    /** A language model engine; else a plain service. */
+    /** A language model engine; otherwise a plain service. */
     bool isEngine = false;
-    /** Output tokens in one event of an engine's stream. */
+    /** Output tokens per event of an engine's stream. */
     std::uint32_t tokensPerEvent = 1;
-    /** Connections that one target accepts from all daemons. */
+    /** Connections that one target accepts from all daemons together. */
     std::uint32_t maximumConnections = 0;
-    /** A target that has just started is cold for so long. */
+    /** Time for which a target is cold after its start. */
     Duration coldTime {};
-    /** Requests a second that a cold target bears; zero where it bears as many as a warm one. */
+    /**
+     * Requests per second that a cold target can handle; zero if it handles as many as a warm one.
+     */
     double coldPerSecond = 0;
 
     auto operator<=>(const ServiceRule &) const = default;
@@ -74,19 +76,19 @@
 {
     CustomerId name;
     std::vector<std::string> keys;
-    /** Goes before the route's tier. */
+    /** Compared before the route's tier. */
     std::optional<Tier> tier;
     LimitUnit unit = LimitUnit::Requests;
-    /** What a request counts that states no tokens. */
+    /** Tokens that a request counts if it states none. */
     std::uint64_t defaultTokens = 0;
-    /** Units a second over the whole fleet; zero means no limit. */
+    /** Units per second across the whole fleet; zero means no limit. */
     double ratePerSecond = 0;
     double burst = 0;
 
     auto operator<=>(const CustomerRule &) const = default;
 };
 
-/** What callers may send and how long they may take. */
+/** Limits on the size and duration of callers' requests. */
 struct CallerBounds
 {
     std::uint32_t headBytes = 16384;
@@ -97,7 +99,7 @@
     auto operator<=>(const CallerBounds &) const = default;
 };
 
-/** A released configuration as requests are served under it. */
+/** A released configuration in the form in which requests are served under it. */
 struct ServingConfiguration
 {
     Generation generation;
@@ -110,63 +112,65 @@
 };
 
 /**
- * One start of a target. A target that starts again under its id holds and knows nothing of what
- * the start before it was sent.
+ * One instance of a target: the time from a start of its process to the next. An instance has no
+ * state and no requests of the one before it.
  */
 struct TargetInstance
 {
     TargetId id;
-    /** Milliseconds since 1970; zero while the target doesn't tell it. */
+    /** Milliseconds since 1970; zero if the target doesn't report it. */
     std::uint64_t startedAt = 0;
 
     auto operator<=>(const TargetInstance &) const = default;
 };
 
-/** A target as it registered itself. */
+/** A target's registration of itself. */
 struct TargetEntry
 {
     TargetId id;
     /** As in TargetInstance. */
     std::uint64_t startedAt = 0;
-    /** Grows with each write of this start; a write may take effect after later ones. */
+    /** Increases with each write of this instance; a write may take effect after later ones. */
     std::uint64_t sequence = 0;
     ServiceId service;
     Endpoint address;
     DataCentreId dataCentre;
-    /** Requests that it works on at once. */
+    /** Requests that the target runs concurrently. */
     std::uint32_t slots = 1;
     bool isDraining = false;
-    /** When it wrote this, it was still cold for so long. */
+    /** Remaining time for which the target is cold, as of the write of this entry. */
     Duration remainingColdTime {};
 
     TargetInstance instance() const { return {id, startedAt}; }
     auto operator<=>(const TargetEntry &) const = default;
 };
 
-/** The limits of the fleet's own behaviour, from the settings. */
+/** Limits on the behaviour of the whole fleet, from the settings. */
 struct FleetBounds
 {
-    /** Repeated sends of a service in `retryWindow`: ratio times its requests, plus the slack. */
+    /** Retries of a service within `retryWindow`: ratio times its requests, plus the slack. */
     double retryRatio = 0.2;
     double retrySlack = 0;
     Duration retryWindow = std::chrono::seconds(10);
     /**
-     * Units of a customer in any `customerWindow`: what its rate and burst give, times one and the
-     * overshoot, plus the slack.
+     * Units of a customer in any `customerWindow`: what its rate and burst allow, multiplied by one
+     * plus the overshoot, plus the slack.
      */
     Duration customerWindow = std::chrono::seconds(8);
     double customerOvershoot = 0;
     double customerSlack = 0;
-    /** Requests that a cold target may get in any second: its rate times this, plus the slack. */
+    /**
+     * Requests that a cold target may receive in any second: its rate times this, plus the slack.
+     */
     double coldOvershoot = 1;
     double coldSlack = 0;
-    /** A target writes its entry once in it. */
+    /** Interval at which a target writes its entry. */
     Duration entryInterval = std::chrono::milliseconds(1200);
-    /** Within it, what is published is in force at every daemon. */
+    /** Time within which published state takes effect at every daemon. */
     Duration applyTimeout = std::chrono::seconds(2);
-    /** How long a stopping daemon may live on. */
+    /** Time for which a stopping daemon may stay alive. */
     Duration grace = std::chrono::seconds(8);
-    /** Longest time for which a lookup's answer may be kept. */
+    /** Longest time for which a lookup's answer may be cached. */
     Duration lookupTtl = std::chrono::seconds(5);
 
     auto operator<=>(const FleetBounds &) const = default;
--- a/packages/dispatch/apricothook/dispatch/apricothook_size_order.cpp
+++ b/packages/dispatch/apricothook/dispatch/apricothook_size_order.cpp
@@ -12,14 +12,14 @@
 
 int SizeOrder::level(const ClassId &route, double expected, double randomDraw) const
 {
-    const auto usual = m_routes.find(route);
-    if (usual == m_routes.end() || expected <= 0 || usual->second.value().value_or(0) <= 0)
+    const auto mean = m_routes.find(route);
+    if (mean == m_routes.end() || expected <= 0 || mean->second.value().value_or(0) <= 0)
         return 0;
-    const double doublings = std::log2(expected / *usual->second.value());
-    const double level = std::round(doublings * LevelsForEachDoubling);
-    if (level > 0 && randomDraw < FirstLotPart)
+    const double doublings = std::log2(expected / *mean->second.value());
+    const double level = std::round(doublings * LevelsPerDoubling);
+    if (level > 0 && randomDraw < SmallestSizeFraction)
         return -MostLevels;
-    if (level > 0 && randomDraw < LotPart)
+    if (level > 0 && randomDraw < UsualSizeFraction)
         return 0;
     return static_cast<int>(std::clamp<double>(level, -MostLevels, MostLevels));
 }
--- a/packages/dispatch/apricothook/dispatch/apricothook_slot_partition.cpp
+++ b/packages/dispatch/apricothook/dispatch/apricothook_slot_partition.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/** A run of the line of all slots; it may go on at the line's start. */
+/** A range in the sequence of all slots; it may wrap around at the end. */
 struct Run
 {
     std::uint64_t from = 0;
@@ -25,11 +25,11 @@
     return {from, slots * (before + *own) / all - from};
 }
 
-Run widened(const Run &fair, std::uint64_t slots)
+Run extended(const Run &fair, std::uint64_t slots)
 {
     const std::uint64_t length = std::min(slots, std::max(fair.length, SmallestRun));
-    const std::uint64_t more = (length - fair.length) / 2;
-    return {(fair.from + slots - more) % slots, length};
+    const std::uint64_t extension = (length - fair.length) / 2;
+    return {(fair.from + slots - extension) % slots, length};
 }
 
 std::uint64_t overlap(std::uint64_t from, std::uint64_t to, const Run &run)
@@ -39,18 +39,18 @@
     return end > start ? end - start : 0;
 }
 
-std::uint64_t ceilingOf(std::uint64_t value, std::uint64_t divisor)
+std::uint64_t divideRoundingUp(std::uint64_t value, std::uint64_t divisor)
 {
     return (value + divisor - 1) / divisor;
 }
 
-/** What the cell may use of a target's slots in the run. */
-std::uint64_t partOf(std::uint64_t inRun, const Run &fair, const Run &run)
+/** Slots of a target within the run that the cell may use. */
+std::uint64_t usableSlots(std::uint64_t inRun, const Run &fair, const Run &run)
 {
     if (run.length == fair.length)
         return inRun;
-    const std::uint64_t parts = std::max<std::uint64_t>(fair.length, 1) * WidenedParts;
-    return std::min(inRun, ceilingOf(inRun * parts, run.length));
+    const std::uint64_t parts = std::max<std::uint64_t>(fair.length, 1) * ExtendedShares;
+    return std::min(inRun, divideRoundingUp(inRun * parts, run.length));
 }
 
 } // namespace
@@ -68,12 +68,12 @@
     if (slots == 0)
         return parts;
     const Run fair = fairRun(slots, cells);
-    const Run run = widened(fair, slots);
+    const Run run = extended(fair, slots);
     std::uint64_t from = 0;
     for (const std::size_t index : order) {
         const std::uint64_t to = from + targets[index].slots;
         const std::uint64_t inRun = overlap(from, to, run) + overlap(from + slots, to + slots, run);
-        parts[index] = static_cast<std::uint32_t>(partOf(inRun, fair, run));
+        parts[index] = static_cast<std::uint32_t>(usableSlots(inRun, fair, run));
         from = to;
     }
     return parts;
--- a/packages/dispatch/apricothook/dispatch/apricothook_slot_partition.hpp
+++ b/packages/dispatch/apricothook/dispatch/apricothook_slot_partition.hpp
@@ -5,7 +5,7 @@
 
 namespace Apricothook {
 
-/** A target's slots, to be divided among cells. */
+/** A target whose slots are divided among cells. */
 struct PartitionedTarget
 {
     std::uint64_t target = 0; ///< targetHash() of the id.
@@ -14,35 +14,36 @@
     auto operator<=>(const PartitionedTarget &) const = default;
 };
 
-/** How the fleet's daemons stand in cells; each cell has a part of the slots by its weight. */
+/** The fleet's cells; each cell gets a share of the slots by its weight. */
 struct CellWeights
 {
-    /** Live daemons of each cell. */
+    /** Number of live daemons in each cell. */
     std::vector<std::uint32_t> weights {1};
-    /** The cell of this daemon. */
+    /** Index of this daemon's cell. */
     std::uint32_t own = 0;
 
     auto operator<=>(const CellWeights &) const = default;
 };
 
 /**
- * The slots that the own cell may use of each target, in the order of `targets`.
+ * Slots of each target that this daemon's cell may use, in the order of `targets`.
  *
- * All targets, sorted by number, form one line of slots, and each cell gets a run of it as long as
- * its weight. Daemons that know the same targets and members agree without a message; where one
- * knows a target more, only the ends of the runs differ. A run that would be shorter than
- * SmallestRun is widened over its neighbours', and the cell uses only a part of each target in it,
- * so that a service with few targets isn't served through a single one.
+ * The slots of all targets, sorted by number, form one sequence, and each cell gets a run of it in
+ * proportion to its weight. Daemons that know the same targets and members agree without a message;
+ * if one knows an additional target, only the ends of the runs differ. A run that would be shorter
+ * than SmallestRun is extended into its neighbours' runs, and the cell uses only part of each
+ * target's slots in it, so that a service with few targets isn't served through a single one.
  */
 std::vector<std::uint32_t> slotsOfCell(const std::vector<PartitionedTarget> &targets,
                                        const CellWeights &cells);
 
-/** Slots for which a cell's requests hardly wait for each other at two thirds load. */
+/** Number of slots with which a cell's requests hardly wait for each other at two thirds load. */
 constexpr std::uint64_t SmallestRun = 24;
 /**
- * Slots that a cell may use in a widened run, in fair parts. The cells there don't know each
- * other's load; with one part a cell would wait while its neighbours' slots are idle.
+ * Slots that a cell may use in an extended run, as a multiple of its fair share. The cells there
+ * don't know each other's load; with one share a cell would wait while its neighbours' slots are
+ * idle.
  */
-constexpr std::uint64_t WidenedParts = 2;
+constexpr std::uint64_t ExtendedShares = 2;
 
 } // namespace Apricothook
--- a/packages/dispatch/apricothook/dispatch/apricothook_target_speed.hpp
+++ b/packages/dispatch/apricothook/dispatch/apricothook_target_speed.hpp
@@ -7,37 +7,42 @@
 
 namespace Apricothook {
 
-/** Tokens whose reading takes as long as an engine's fixed work before a first event. */
+/**
+ * Number of tokens whose processing takes as long as an engine's fixed work before a first event.
+ */
 constexpr double FixedWorkTokens = 4000;
 
-/** A mean that follows its samples; nothing until the first one. */
-class MovingMean
+/** An exponential moving average; empty until the first sample. */
+class MovingAverage
 {
 public:
-    /** Part of a new sample in the mean: about ten samples decide. */
-    static constexpr double NewPart = 0.1;
+    /** Weight of a new sample: about ten samples determine the average. */
+    static constexpr double SampleWeight = 0.1;
 
-    void add(double sample) { m_mean = m_mean ? *m_mean + NewPart * (sample - *m_mean) : sample; }
-    std::optional<double> value() const { return m_mean; }
+    void add(double sample)
+    {
+        m_average = m_average ? *m_average + SampleWeight * (sample - *m_average) : sample;
+    }
+    std::optional<double> value() const { return m_average; }
 
 private:
-    std::optional<double> m_mean;
+    std::optional<double> m_average;
 };
 
 /**
- * How fast a target was, from its answers; load reports tell nothing of speed. Plain services are
- * measured by the time to their answer alone.
+ * A target's speed as derived from its answers, since load reports don't contain it. Plain services
+ * are measured by the time to their answer alone.
  */
 struct TargetSpeed
 {
-    /** Milliseconds to the first event, for each token of the prompt and of FixedWorkTokens. */
-    MovingMean firstEvent;
+    /** Milliseconds to the first event, per token of the prompt and of FixedWorkTokens. */
+    MovingAverage firstEvent;
     /** Milliseconds between events. */
-    MovingMean eventGap;
-    /** Milliseconds for which a request holds its slot. */
-    MovingMean hold;
-    /** Part of the requests that failed at the target, 0 to 1. */
-    MovingMean failures;
+    MovingAverage eventGap;
+    /** Milliseconds for which a request occupies its slot. */
+    MovingAverage hold;
+    /** Fraction of the requests that failed at the target, 0 to 1. */
+    MovingAverage failures;
 
     void addFirstEvent(std::uint64_t promptTokens, Duration took);
     void addGap(Duration gap);
--- a/packages/dispatch/apricothook/dispatch/apricothook_target_table.cpp
+++ b/packages/dispatch/apricothook/dispatch/apricothook_target_table.cpp
@@ -9,35 +9,46 @@
 
 namespace {
 
-/** Milliseconds for each token until there are samples: 100 tokens a millisecond. */
+/** Milliseconds per token until there are samples: 100 tokens a millisecond. */
 constexpr double DefaultFirstEvent = 0.01;
 /** Milliseconds between events until there are samples. */
 constexpr double DefaultGap = 25;
-/** Milliseconds of a plain answer, and of a stream's whole length, until there are samples. */
-constexpr double DefaultHold = 500;
-/** Part by which each running request slows an engine's others: 0.097 of 3.41 ms a step. */
-constexpr double SlowdownOfEach = 0.028;
-/** Milliseconds that a certain failure is worth avoiding. */
+/** Milliseconds of a plain answer, and of a complete stream, until there are samples. */
+constexpr double DefaultHoldTime = 500;
+/**
+ * Fraction by which each running request slows down the others of an engine: 0.097 of 3.41 ms a
+ * step.
+ */
+constexpr double SlowdownPerRequest = 0.028;
+/** Cost of a certain failure, in milliseconds. */
 constexpr double FailureCost = 2000;
-/** How much dearer the last slot of a target is than the first: 8 makes one of two thirds load as
- * dear as an idle one that is four times slower. */
+/**
+ * Additional cost of a target's last slot compared to its first: 8 makes a target at two thirds
+ * load as expensive as an idle one that is four times slower.
+ */
 constexpr double ScarcityWeight = 2;
-/** Parts of the time that a forecast may use; lengths are estimates, right at the median only. */
-constexpr double FirstMargin = 0.8;
+/**
+ * Fractions of the remaining time that a forecast may use; lengths are estimates that are right at
+ * the median only.
+ */
+constexpr double FirstEventMargin = 0.8;
 constexpr double EndMargin = 0.7;
-/** Milliseconds that a target in another data centre must be better by, for the bytes between. */
+/**
+ * Milliseconds by which a target in another data centre must be faster, for the bytes sent between
+ * them.
+ */
 constexpr double DistanceCost = 5;
-/** First time for which a target that can't be reached is avoided; doubles up to the last. */
+/** Initial time for which an unreachable target is avoided; doubles up to LastAvoidance. */
 constexpr std::chrono::milliseconds FirstAvoidance {500};
 constexpr std::chrono::milliseconds LastAvoidance {8000};
-/** Failures in a row that aren't taken for chance. */
-constexpr std::uint32_t FailuresByChance = 3;
-/** Time for which a target that called itself full is left to work. */
+/** Consecutive failures that are attributed to chance. */
+constexpr std::uint32_t ToleratedFailures = 3;
+/** Time for which a target that reported to be full gets no requests. */
 constexpr std::chrono::milliseconds FullPause {100};
 
 /**
- * Requests of this daemon and its cell at a target of another cell, while the own cell's targets
- * fail: what the other cell has there isn't known.
+ * Requests that this daemon and its cell may have at a target of another cell while the own cell's
+ * targets fail; the other cell's load there isn't known.
  */
 constexpr std::uint32_t SlotsAtOtherCells = 1;
 
@@ -58,22 +69,22 @@
     TrackedTarget &target = m_targets[entry.id];
     const ServiceId before = target.entry.service;
     if (target.entry.instance() != entry.instance()) {
-        m_numbers.erase(targetHash(target.entry.instance()));
+        m_idsByHash.erase(targetHash(target.entry.instance()));
         target = {};
     }
     target.entry = entry;
-    noteCold(target, now + entry.remainingColdTime, now);
-    m_numbers[targetHash(entry.instance())] = entry.id;
+    updateCold(target, now + entry.remainingColdTime, now);
+    m_idsByHash[targetHash(entry.instance())] = entry.id;
     target.requestsOfOthers = 0;
-    for (const auto &[member, loads] : m_loadsOfMembers) {
+    for (const auto &[member, loads] : m_memberLoads) {
         for (const TargetLoad &load : loads) {
             if (load.target == targetHash(entry.instance()))
                 target.requestsOfOthers += load.running;
         }
     }
     if (before != entry.service)
-        divide(before);
-    divide(entry.service);
+        assignSlots(before);
+    assignSlots(entry.service);
 }
 
 void TargetTable::remove(const TargetId &target)
@@ -82,9 +93,9 @@
     if (!known)
         return;
     const ServiceId service = known->entry.service;
-    m_numbers.erase(targetHash(known->entry.instance()));
+    m_idsByHash.erase(targetHash(known->entry.instance()));
     m_targets.erase(target);
-    divide(service);
+    assignSlots(service);
 }
 
 void TargetTable::setCells(const CellWeights &cells)
@@ -92,40 +103,41 @@
     if (cells == m_cells)
         return;
     m_cells = cells;
-    divideAll();
+    assignAllSlots();
 }
 
 void TargetTable::setServices(const std::vector<ServiceRule> &services, Instant now)
 {
-    m_cold.setServices(services);
+    m_coldLimiter.setServices(services);
     for (auto &[id, target] : m_targets)
-        noteCold(target, target.coldUntil, now);
-    divideAll();
+        updateCold(target, target.coldUntil, now);
+    assignAllSlots();
 }
 
 void TargetTable::setColdTargetSenders(ColdTargetSenders fleet)
 {
-    const bool doubtedAll = m_cold.doubtsAll();
-    if (!m_cold.setFleet(std::move(fleet)))
+    const bool treatedAllAsCold = m_coldLimiter.treatsAllAsCold();
+    if (!m_coldLimiter.setSenders(std::move(fleet)))
         return;
-    if (doubtedAll || m_cold.doubtsAll())
-        divideAll();
+    if (treatedAllAsCold || m_coldLimiter.treatsAllAsCold())
+        assignAllSlots();
     else
-        divideCold();
+        assignColdSlots();
 }
 
 void TargetTable::setEvacuated(const DataCentreId &dataCentre, bool isEvacuated, Instant now)
 {
-    // An end may be heard of an evacuation that wasn't: this daemon started between them.
+    // The end of an evacuation may be reported without its start, if this daemon started in
+    // between.
     if (isEvacuated)
         m_evacuated.insert(dataCentre);
     else
         m_evacuated.erase(dataCentre);
     for (auto &[id, target] : m_targets) {
         if (!isEvacuated && target.entry.dataCentre == dataCentre)
-            noteCold(target, now + m_cold.coldTime(target.entry.service), now);
+            updateCold(target, now + m_coldLimiter.coldTime(target.entry.service), now);
     }
-    divideAll();
+    assignAllSlots();
 }
 
 std::size_t TargetTable::countIn(const DataCentreId &dataCentre) const
@@ -147,16 +159,16 @@
         std::ranges::count_if(m_targets, [](const auto &entry) { return entry.second.isCold; }));
 }
 
-void TargetTable::noteCold(TrackedTarget &target, Instant until, Instant now) const
+void TargetTable::updateCold(TrackedTarget &target, Instant until, Instant now) const
 {
-    // Never sooner than was heard before: entries may come into force out of order.
+    // The time is never shortened: entries may take effect out of order.
     target.coldUntil = std::max(target.coldUntil, until);
-    target.isCold = target.coldUntil > now && m_cold.isBounded(target.entry.service);
+    target.isCold = target.coldUntil > now && m_coldLimiter.isLimited(target.entry.service);
 }
 
 void TargetTable::review(Instant now)
 {
-    if (!m_nextWarm || now < *m_nextWarm)
+    if (!m_nextWarmTime || now < *m_nextWarmTime)
         return;
     std::set<ServiceId> warmed;
     for (auto &[id, target] : m_targets) {
@@ -165,32 +177,32 @@
             warmed.insert(target.entry.service);
         }
     }
-    m_nextWarm.reset();
+    m_nextWarmTime.reset();
     for (const ServiceId &service : warmed)
-        divide(service);
-    divideCold();
+        assignSlots(service);
+    assignColdSlots();
 }
 
-bool TargetTable::takesWork(const TrackedTarget &target) const
+bool TargetTable::acceptsRequests(const TrackedTarget &target) const
 {
     return !target.entry.isDraining && !m_evacuated.contains(target.entry.dataCentre);
 }
 
 std::uint32_t TargetTable::freeSlots(const TrackedTarget &target, Instant now) const
 {
-    const bool isBounded = target.mostInSecond != ColdTargetLimiter::Unlimited;
-    if (isBounded && target.sends.count(now) >= target.mostInSecond)
+    const bool isLimited = target.sendsPerSecond != ColdTargetLimiter::Unlimited;
+    if (isLimited && target.recentSends.count(now) >= target.sendsPerSecond)
         return 0;
     return target.cellSlots - std::min(target.cellSlots, target.load());
 }
 
-void TargetTable::divideAll()
+void TargetTable::assignAllSlots()
 {
     for (const auto &[service, targets] : m_services)
-        divide(service);
+        assignSlots(service);
 }
 
-void TargetTable::divideCold()
+void TargetTable::assignColdSlots()
 {
     std::set<ServiceId> services;
     for (const auto &[id, target] : m_targets) {
@@ -198,14 +210,14 @@
             services.insert(target.entry.service);
     }
     for (const ServiceId &service : services)
-        divide(service);
+        assignSlots(service);
 }
 
-void TargetTable::divide(const ServiceId &service)
+void TargetTable::assignSlots(const ServiceId &service)
 {
     ServiceTargets &targets = m_services[service];
     targets = {};
-    std::vector<TrackedTarget *> taking;
+    std::vector<TrackedTarget *> accepting;
     std::vector<PartitionedTarget> slots;
     for (auto &[id, target] : m_targets) {
         if (target.entry.service != service)
@@ -214,32 +226,32 @@
         target.cellSlots = 0;
         targets.evacuated += m_evacuated.contains(target.entry.dataCentre) ? 1 : 0;
         targets.cold += target.isCold ? 1 : 0;
-        // One that takes nothing has no part: the others' work must not count on it.
-        if (!takesWork(target))
+        // A target that takes no requests gets no share, so that queued requests don't count on it.
+        if (!acceptsRequests(target))
             continue;
         if (target.isCold)
-            m_nextWarm = std::min(m_nextWarm.value_or(target.coldUntil), target.coldUntil);
-        taking.push_back(&target);
-        // By the id alone: a target that starts again stays with its cell.
+            m_nextWarmTime = std::min(m_nextWarmTime.value_or(target.coldUntil), target.coldUntil);
+        accepting.push_back(&target);
+        // By the id alone, so that a target that restarts stays with its cell.
         slots.push_back({targetHash({id}), target.entry.slots});
     }
     const std::vector<std::uint32_t> parts = slotsOfCell(slots, m_cells);
-    for (std::size_t index = 0; index < taking.size(); ++index) {
-        TrackedTarget &target = *taking[index];
-        target.mostInSecond
-            = m_cold.mostInSecond(service, targetHash(target.entry.instance()), target.isCold);
-        // It stays in the line, so that the cells' other slots don't move for seconds.
-        const bool isOwn
-            = target.mostInSecond > 0 && target.mostInSecond != ColdTargetLimiter::Unlimited;
-        target.cellSlots = isOwn ? target.entry.slots : parts[index];
-        if (target.mostInSecond == 0)
+    for (std::size_t index = 0; index < accepting.size(); ++index) {
+        TrackedTarget &target = *accepting[index];
+        target.sendsPerSecond = m_coldLimiter.sendsPerSecond(
+            service, targetHash(target.entry.instance()), target.isCold);
+        // The target stays in the sequence, so that the cells' other slots don't shift for seconds.
+        const bool isSender
+            = target.sendsPerSecond > 0 && target.sendsPerSecond != ColdTargetLimiter::Unlimited;
+        target.cellSlots = isSender ? target.entry.slots : parts[index];
+        if (target.sendsPerSecond == 0)
             target.cellSlots = 0;
         if (target.cellSlots > 0)
-            targets.ofCell.push_back(taking[index]);
+            targets.ofCell.push_back(accepting[index]);
     }
 }
 
-const TargetTable::ServiceTargets &TargetTable::ofService(const ServiceId &service) const
+const TargetTable::ServiceTargets &TargetTable::targetsOf(const ServiceId &service) const
 {
     static const ServiceTargets None;
     const auto found = m_services.find(service);
@@ -264,27 +276,28 @@
     return found && found->entry.instance() == start ? found : nullptr;
 }
 
-void TargetTable::requestStarted(const TargetInstance &target, const RequestSize &work, Instant now)
+void TargetTable::requestStarted(const TargetInstance &target, const RequestSize &size, Instant now)
 {
     if (TrackedTarget *found = find(target)) {
         ++found->ownRequests;
-        // Noted of warm ones too: what they got just before they turned cold counts.
-        if (m_cold.isBounded(found->entry.service))
-            found->sends.add(now);
-        found->unreadTokens += work.promptTokens;
+        // Recorded for warm targets too, because requests sent just before a target turned cold
+        // count.
+        if (m_coldLimiter.isLimited(found->entry.service))
+            found->recentSends.add(now);
+        found->pendingPromptTokens += size.promptTokens;
     }
 }
 
-void TargetTable::firstEventReceived(const TargetInstance &target, const RequestSize &work,
+void TargetTable::firstEventReceived(const TargetInstance &target, const RequestSize &size,
                                      Duration took)
 {
     if (TrackedTarget *found = find(target)) {
-        found->unreadTokens -= std::min(found->unreadTokens, work.promptTokens);
-        found->speed.addFirstEvent(work.promptTokens, took);
+        found->pendingPromptTokens -= std::min(found->pendingPromptTokens, size.promptTokens);
+        found->speed.addFirstEvent(size.promptTokens, took);
     }
 }
 
-void TargetTable::requestEnded(const TargetInstance &target, const RequestSize &work,
+void TargetTable::requestEnded(const TargetInstance &target, const RequestSize &size,
                                TargetOutcome outcome, Duration held, bool hadFirstEvent,
                                Instant now)
 {
@@ -293,7 +306,7 @@
         return;
     found->ownRequests -= std::min(found->ownRequests, 1U);
     if (!hadFirstEvent)
-        found->unreadTokens -= std::min(found->unreadTokens, work.promptTokens);
+        found->pendingPromptTokens -= std::min(found->pendingPromptTokens, size.promptTokens);
     if (outcome == TargetOutcome::Cancelled)
         return;
     if (outcome == TargetOutcome::Full) {
@@ -304,20 +317,21 @@
     if (outcome == TargetOutcome::Served)
         found->failuresInRow = 0;
     else
-        punish(*found, outcome, now);
+        recordFailure(*found, outcome, now);
 }
 
-void TargetTable::punish(TrackedTarget &target, TargetOutcome outcome, Instant now)
+void TargetTable::recordFailure(TrackedTarget &target, TargetOutcome outcome, Instant now)
 {
     ++target.failuresInRow;
     if (!m_policies.avoidance)
         return;
     // An error may be the request's fault; a missing connection is the target's.
-    const std::uint32_t byChance = outcome == TargetOutcome::Unreachable ? 0 : FailuresByChance;
-    if (target.failuresInRow <= byChance)
+    const std::uint32_t tolerated = outcome == TargetOutcome::Unreachable ? 0 : ToleratedFailures;
+    if (target.failuresInRow <= tolerated)
         return;
-    constexpr std::uint32_t MostDoublings = 4;
-    const std::uint32_t doublings = std::min(target.failuresInRow - byChance - 1, MostDoublings);
+    constexpr std::uint32_t MaximumDoublings = 4;
+    const std::uint32_t doublings
+        = std::min(target.failuresInRow - tolerated - 1, MaximumDoublings);
     const auto pause = std::min(FirstAvoidance * (1U << doublings), LastAvoidance);
     target.avoidedUntil = std::max(target.avoidedUntil, now + Duration(pause));
 }
@@ -326,8 +340,8 @@
 {
     const auto change = [this](const std::vector<TargetLoad> &of, bool add) {
         for (const TargetLoad &load : of) {
-            const auto number = m_numbers.find(load.target);
-            TrackedTarget *target = number == m_numbers.end() ? nullptr : find(number->second);
+            const auto id = m_idsByHash.find(load.target);
+            TrackedTarget *target = id == m_idsByHash.end() ? nullptr : find(id->second);
             if (!target)
                 continue;
             target->requestsOfOthers = add
@@ -335,12 +349,12 @@
                 : target->requestsOfOthers - std::min(target->requestsOfOthers, load.running);
         }
     };
-    std::vector<TargetLoad> &kept = m_loadsOfMembers[member];
-    change(kept, false);
-    kept = loads;
-    change(kept, true);
+    std::vector<TargetLoad> &stored = m_memberLoads[member];
+    change(stored, false);
+    stored = loads;
+    change(stored, true);
     if (loads.empty())
-        m_loadsOfMembers.erase(member);
+        m_memberLoads.erase(member);
 }
 
 std::vector<TargetLoad> TargetTable::ownLoad() const
@@ -353,7 +367,7 @@
     return loads;
 }
 
-TargetTable::UsualSpeed TargetTable::usualSpeed(const ServiceId &service) const
+TargetTable::AverageSpeed TargetTable::averageSpeed(const ServiceId &service) const
 {
     struct Sum
     {
@@ -364,163 +378,169 @@
             total += value.value_or(0);
             count += value ? 1 : 0;
         }
-        double meanOr(double otherwise) const { return count > 0 ? total / count : otherwise; }
+        double meanOr(double defaultValue) const
+        {
+            return count > 0 ? total / count : defaultValue;
+        }
     };
     Sum firstEvent;
     Sum gap;
     Sum hold;
-    for (const TrackedTarget *target : ofService(service).all) {
+    for (const TrackedTarget *target : targetsOf(service).all) {
         firstEvent.add(target->speed.firstEvent.value());
         gap.add(target->speed.eventGap.value());
         hold.add(target->speed.hold.value());
     }
-    return {firstEvent.meanOr(DefaultFirstEvent), gap.meanOr(DefaultGap), hold.meanOr(DefaultHold)};
+    return {firstEvent.meanOr(DefaultFirstEvent), gap.meanOr(DefaultGap),
+            hold.meanOr(DefaultHoldTime)};
 }
 
-TargetTable::Forecast TargetTable::forecast(const TrackedTarget &target, const RequestSize &work,
-                                            const UsualSpeed &usual) const
+TargetTable::Forecast TargetTable::forecast(const TrackedTarget &target, const RequestSize &size,
+                                            const AverageSpeed &average) const
 {
-    const double slowdown = 1 + SlowdownOfEach * target.usedPart() * target.entry.slots;
-    if (!work.isStream) {
-        const double whole = target.speed.hold.value().value_or(usual.hold) * slowdown;
+    const double slowdown = 1 + SlowdownPerRequest * target.usedFraction() * target.entry.slots;
+    if (!size.isStream) {
+        const double whole = target.speed.hold.value().value_or(average.hold) * slowdown;
         return {whole, whole};
     }
-    const double unread = static_cast<double>(work.promptTokens + target.unreadTokens);
-    const double first
-        = target.speed.firstEvent.value().value_or(usual.firstEvent) * (unread + FixedWorkTokens);
-    const double gap = target.speed.eventGap.value().value_or(usual.eventGap);
-    return {first, first + gap * static_cast<double>(work.events)};
+    const double pendingTokens
+        = static_cast<double>(size.promptTokens + target.pendingPromptTokens);
+    const double first = target.speed.firstEvent.value().value_or(average.firstEvent)
+        * (pendingTokens + FixedWorkTokens);
+    const double gap = target.speed.eventGap.value().value_or(average.eventGap);
+    return {first, first + gap * static_cast<double>(size.events)};
 }
 
 double TargetTable::cost(const TrackedTarget &target, const Forecast &forecast) const
 {
-    const double used = target.usedPart();
+    const double used = target.usedFraction();
     if (!m_policies.forecast)
         return used;
-    // A slot of a fast target is worth keeping for long work that slow ones can't end in time.
+    // Slots of a fast target are kept for long requests that slow targets can't complete in time.
     const double scarcity = m_policies.scarcity ? 1 + ScarcityWeight * used * used : 1;
     const double failure = FailureCost * target.speed.failures.value().value_or(0);
-    const double distance = target.entry.dataCentre == m_own ? 0 : DistanceCost;
+    const double distance = target.entry.dataCentre == m_ownDataCentre ? 0 : DistanceCost;
     return forecast.whole * scarcity + failure + distance;
 }
 
-const TrackedTarget *TargetTable::choose(const TargetWish &wish, Instant now) const
+const TrackedTarget *TargetTable::choose(const TargetRequirements &requirements, Instant now) const
 {
-    const ServiceTargets &targets = ofService(wish.service);
-    const Choice ofCell = chooseAmong(targets.ofCell, wish, false, now);
-    if (ofCell.someIsSound || targets.ofCell.size() == targets.all.size())
+    const ServiceTargets &targets = targetsOf(requirements.service);
+    const Choice ofCell = chooseAmong(targets.ofCell, requirements, false, now);
+    if (ofCell.someIsHealthy || targets.ofCell.size() == targets.all.size())
         return ofCell.target;
-    // The cell's own targets are all away, failing or tried already.
-    const Choice ofOthers = chooseAmong(targets.all, wish, true, now);
+    // The cell's own targets are all gone, failing or already tried.
+    const Choice ofOthers = chooseAmong(targets.all, requirements, true, now);
     return ofOthers.target ? ofOthers.target : ofCell.target;
 }
 
 TargetTable::Choice TargetTable::chooseAmong(const std::vector<const TrackedTarget *> &candidates,
-                                             const TargetWish &wish, bool ofOtherCells,
-                                             Instant now) const
+                                             const TargetRequirements &requirements,
+                                             bool ofOtherCells, Instant now) const
 {
     struct Rank
     {
         bool isAvoided = true;
-        bool missesEnd = true;
-        bool missesFirst = true;
+        bool missesDeadline = true;
+        bool missesFirstEvent = true;
         double cost = 0;
         auto operator<=>(const Rank &) const = default;
     };
-    const UsualSpeed usual = usualSpeed(wish.service);
-    const double untilFirst = milliseconds(wish.untilFirst) * FirstMargin;
-    const double untilEnd = milliseconds(wish.untilEnd) * EndMargin;
+    const AverageSpeed average = averageSpeed(requirements.service);
+    const double timeToFirstEvent = milliseconds(requirements.timeToFirstEvent) * FirstEventMargin;
+    const double timeToEnd = milliseconds(requirements.timeToEnd) * EndMargin;
     const TrackedTarget *best = nullptr;
     Rank bestRank;
-    bool fullOneWouldEnd = false;
-    bool fullOneIsSound = false;
+    bool fullTargetMeetsDeadline = false;
+    bool fullTargetIsHealthy = false;
     for (const TrackedTarget *target : candidates) {
-        if (!takesWork(*target) || wish.excluded.contains(target->entry.instance()))
+        if (!acceptsRequests(*target) || requirements.excluded.contains(target->entry.instance()))
             continue;
-        if (target->mostInSecond == 0)
+        if (target->sendsPerSecond == 0)
             continue;
-        const Forecast expected = forecast(*target, wish.size, usual);
-        const Rank rank {target->avoidedUntil > now, expected.whole > untilEnd,
-                         expected.first > untilFirst, cost(*target, expected)};
-        const bool isStranger = ofOtherCells && target->cellSlots == 0;
-        const bool hasRoom
-            = isStranger ? target->load() < SlotsAtOtherCells : freeSlots(*target, now) > 0;
-        if (!hasRoom) {
-            fullOneIsSound |= !rank.isAvoided;
-            fullOneWouldEnd |= !rank.isAvoided && !rank.missesEnd;
+        const Forecast expected = forecast(*target, requirements.size, average);
+        const Rank rank {target->avoidedUntil > now, expected.whole > timeToEnd,
+                         expected.first > timeToFirstEvent, cost(*target, expected)};
+        const bool isForeign = ofOtherCells && target->cellSlots == 0;
+        const bool hasFreeSlot
+            = isForeign ? target->load() < SlotsAtOtherCells : freeSlots(*target, now) > 0;
+        if (!hasFreeSlot) {
+            fullTargetIsHealthy |= !rank.isAvoided;
+            fullTargetMeetsDeadline |= !rank.isAvoided && !rank.missesDeadline;
         } else if (!best || rank < bestRank) {
             best = target;
             bestRank = rank;
         }
     }
-    const bool someIsSound = fullOneIsSound || (best && !bestRank.isAvoided);
-    // Work that its target can't end is thrown away with all that was read for it.
-    if (best && bestRank.missesEnd && fullOneWouldEnd)
-        return {nullptr, someIsSound};
-    // A target that fails everything always has room.
-    if (best && bestRank.isAvoided && fullOneIsSound)
-        return {nullptr, someIsSound};
-    return {best, someIsSound};
+    const bool someIsHealthy = fullTargetIsHealthy || (best && !bestRank.isAvoided);
+    // If a request can't be completed in time, the work done for it is lost, including its prompt.
+    if (best && bestRank.missesDeadline && fullTargetMeetsDeadline)
+        return {nullptr, someIsHealthy};
+    // A target that fails every request always has free slots.
+    if (best && bestRank.isAvoided && fullTargetIsHealthy)
+        return {nullptr, someIsHealthy};
+    return {best, someIsHealthy};
 }
 
-bool TargetTable::hasOther(const ServiceId &service, const std::set<TargetInstance> &excluded) const
+bool TargetTable::hasAlternative(const ServiceId &service,
+                                 const std::set<TargetInstance> &excluded) const
 {
-    return std::ranges::any_of(ofService(service).all, [&, this](const TrackedTarget *target) {
-        return takesWork(*target) && !excluded.contains(target->entry.instance());
+    return std::ranges::any_of(targetsOf(service).all, [&, this](const TrackedTarget *target) {
+        return acceptsRequests(*target) && !excluded.contains(target->entry.instance());
     });
 }
 
 bool TargetTable::isEvacuated(const ServiceId &service) const
 {
     bool someEvacuated = false;
-    for (const TrackedTarget *target : ofService(service).all) {
-        if (takesWork(*target))
+    for (const TrackedTarget *target : targetsOf(service).all) {
+        if (acceptsRequests(*target))
             return false;
         someEvacuated |= !target->entry.isDraining;
     }
     return someEvacuated;
 }
 
-bool TargetTable::hasRoom(const ServiceId &service, Instant now) const
+bool TargetTable::hasCapacity(const ServiceId &service, Instant now) const
 {
-    const ServiceTargets &targets = ofService(service);
-    const auto isSound = [now](const auto *target) { return target->avoidedUntil <= now; };
-    const bool goesElsewhere = targets.ofCell.size() < targets.all.size()
-        && std::ranges::none_of(targets.ofCell, isSound);
-    return goesElsewhere || std::ranges::any_of(targets.ofCell, [this, now](const auto *target) {
+    const ServiceTargets &targets = targetsOf(service);
+    const auto isHealthy = [now](const auto *target) { return target->avoidedUntil <= now; };
+    const bool usesOtherCells = targets.ofCell.size() < targets.all.size()
+        && std::ranges::none_of(targets.ofCell, isHealthy);
+    return usesOtherCells || std::ranges::any_of(targets.ofCell, [this, now](const auto *target) {
                return freeSlots(*target, now) > 0;
            });
 }
 
 ServiceCapacity TargetTable::capacity(const ServiceId &service, Instant now) const
 {
-    ServiceCapacity room;
-    for (const TrackedTarget *target : ofService(service).ofCell) {
+    ServiceCapacity capacity;
+    for (const TrackedTarget *target : targetsOf(service).ofCell) {
         if (target->avoidedUntil > now)
             continue;
-        room.slots += target->cellSlots;
-        room.free += freeSlots(*target, now);
+        capacity.slots += target->cellSlots;
+        capacity.free += freeSlots(*target, now);
     }
-    room.evacuated = ofService(service).evacuated;
-    room.cold = ofService(service).cold;
-    room.meanHoldTime = usualSpeed(service).hold;
-    return room;
+    capacity.evacuated = targetsOf(service).evacuated;
+    capacity.cold = targetsOf(service).cold;
+    capacity.meanHoldTime = averageSpeed(service).hold;
+    return capacity;
 }
 
-Duration TargetTable::expectedDuration(const ServiceId &service, const RequestSize &work) const
+Duration TargetTable::expectedDuration(const ServiceId &service, const RequestSize &size) const
 {
-    const std::chrono::duration<double, std::milli> events(usualSpeed(service).eventGap
-                                                           * static_cast<double>(work.events));
-    return expectedTimeToFirstEvent(service, work) + std::chrono::duration_cast<Duration>(events);
+    const std::chrono::duration<double, std::milli> events(averageSpeed(service).eventGap
+                                                           * static_cast<double>(size.events));
+    return expectedTimeToFirstEvent(service, size) + std::chrono::duration_cast<Duration>(events);
 }
 
 Duration TargetTable::expectedTimeToFirstEvent(const ServiceId &service,
-                                               const RequestSize &work) const
+                                               const RequestSize &size) const
 {
-    const UsualSpeed usual = usualSpeed(service);
-    const double expected = work.isStream
-        ? usual.firstEvent * (static_cast<double>(work.promptTokens) + FixedWorkTokens)
-        : usual.hold;
+    const AverageSpeed average = averageSpeed(service);
+    const double expected = size.isStream
+        ? average.firstEvent * (static_cast<double>(size.promptTokens) + FixedWorkTokens)
+        : average.hold;
     return std::chrono::duration_cast<Duration>(
         std::chrono::duration<double, std::milli>(expected));
 }
--- a/packages/dispatch/apricothook/dispatch/apricothook_unit_bucket.cpp
+++ b/packages/dispatch/apricothook/dispatch/apricothook_unit_bucket.cpp
@@ -7,9 +7,9 @@
 
 void UnitBucket::refill(Instant now)
 {
-    const Duration passed = std::min<Duration>(now - m_refilled, LongestRefill);
-    const double seconds = std::chrono::duration<double>(passed).count();
-    m_refilled = now;
+    const Duration elapsed = std::min<Duration>(now - m_lastRefill, LongestRefill);
+    const double seconds = std::chrono::duration<double>(elapsed).count();
+    m_lastRefill = now;
     m_level = std::min(m_level + seconds * perSecond(), size());
 }
 
@@ -20,29 +20,29 @@
     m_level = std::min(m_level, size());
 }
 
-void UnitBucket::setPart(double part, Instant now)
+void UnitBucket::setReachableFraction(double fraction, Instant now)
 {
     refill(now);
-    m_part = part;
+    m_reachableFraction = fraction;
     m_level = std::min(m_level, size());
 }
 
-double UnitBucket::needed(const UnitDemand &claim) const
+double UnitBucket::needed(const UnitDemand &demand) const
 {
-    // A full bucket has enough for any request, or one above its size could never run.
-    return std::min(claim.reservedFraction * size() + claim.units, size());
+    // A full bucket suffices for any request, or one larger than the bucket could never run.
+    return std::min(demand.reservedFraction * size() + demand.units, size());
 }
 
-bool UnitBucket::tryTake(const UnitDemand &claim, Instant now)
+bool UnitBucket::tryTake(const UnitDemand &demand, Instant now)
 {
     refill(now);
-    if (m_level < needed(claim))
+    if (m_level < needed(demand))
         return false;
-    m_level -= claim.units;
+    m_level -= demand.units;
     return true;
 }
 
-double UnitBucket::takeAhead(double units, Instant now)
+double UnitBucket::takePrefetch(double units, Instant now)
 {
     refill(now);
     const double taken = std::clamp(m_level - size() / 2, 0.0, units);
@@ -62,10 +62,10 @@
     return std::max(std::exchange(m_level, std::min(m_level, 0.0)), 0.0);
 }
 
-Duration UnitBucket::timeUntil(const UnitDemand &claim, Instant now)
+Duration UnitBucket::timeUntilAvailable(const UnitDemand &demand, Instant now)
 {
     refill(now);
-    const double missing = needed(claim) - m_level;
+    const double missing = needed(demand) - m_level;
     if (missing <= 0 || perSecond() <= 0)
         return Duration::zero();
     return std::chrono::ceil<Duration>(std::chrono::duration<double>(missing / perSecond()));
--- a/packages/dispatch/apricothook/dispatch/apricothook_unit_bucket.hpp
+++ b/packages/dispatch/apricothook/dispatch/apricothook_unit_bucket.hpp
@@ -6,48 +6,51 @@
 namespace Apricothook {
 
 /**
- * The units of a customer that its grantor may still give out. Empty at first: what the bucket held
- * elsewhere before isn't known, so nothing is given out that may have been given out already.
+ * The units of a customer that its grantor may still grant. Empty at first: the level of the bucket
+ * at another daemon isn't known, so no unit is granted twice.
  */
 class UnitBucket
 {
 public:
     UnitBucket() = default;
-    UnitBucket(const CustomerBudget &budget, Instant now) : m_budget(budget), m_refilled(now) { }
+    UnitBucket(const CustomerBudget &budget, Instant now) : m_budget(budget), m_lastRefill(now) { }
 
     /**
-     * Time without a call for longer makes no units: the daemon stood still, and another may have
-     * granted in its place. Callers of it refill it more often.
+     * A longer time without a call adds no units: the daemon was stalled, and another may have
+     * granted in its place. The bucket is refilled more often than this.
      */
     static constexpr std::chrono::milliseconds LongestRefill {500};
 
     void refill(Instant now);
-    /** Time that has passed counts at the rate that was in force. */
+    /** Time that has passed counts at the previous rate. */
     void setBudget(const CustomerBudget &budget, Instant now);
-    /** Part of the fleet that the grantor reaches; the rest may have a grantor of its own. */
-    void setPart(double part, Instant now);
-    /** Takes the claim's units, if the bucket has them and what is to be left. */
-    bool tryTake(const UnitDemand &claim, Instant now);
-    /** Takes up to `units`, but not from the lower half. */
-    double takeAhead(double units, Instant now);
-    /** Units that another grantor had left. */
+    /**
+     * Fraction of the limit that this grantor may grant; the rest of the fleet may have a grantor
+     * of its own.
+     */
+    void setReachableFraction(double fraction, Instant now);
+    /** Takes the demanded units if the bucket holds them and the part that must be left. */
+    bool tryTake(const UnitDemand &demand, Instant now);
+    /** Takes up to `units`, but not from the lower half of the bucket. */
+    double takePrefetch(double units, Instant now);
+    /** Adds units that another grantor had left. */
     void add(double units, Instant now);
-    /** Takes all that is there. */
+    /** Takes all units in the bucket. */
     double takeAll(Instant now);
-    /** How long tryTake() would fail if nobody took anything meanwhile. */
-    Duration timeUntil(const UnitDemand &claim, Instant now);
+    /** Time until tryTake() succeeds if no units are taken in the meantime. */
+    Duration timeUntilAvailable(const UnitDemand &demand, Instant now);
 
     double level() const { return m_level; }
-    double size() const { return m_budget.bucket * m_part; }
-    double perSecond() const { return m_budget.perSecond * m_part; }
+    double size() const { return m_budget.bucket * m_reachableFraction; }
+    double perSecond() const { return m_budget.perSecond * m_reachableFraction; }
 
 private:
-    double needed(const UnitDemand &claim) const;
+    double needed(const UnitDemand &demand) const;
 
     CustomerBudget m_budget;
     double m_level = 0;
-    double m_part = 1;
-    Instant m_refilled {};
+    double m_reachableFraction = 1;
+    Instant m_lastRefill {};
 };
 
 } // namespace Apricothook
--- a/packages/dispatch/tests/apricothook_allowance_tests.cpp
+++ b/packages/dispatch/tests/apricothook_allowance_tests.cpp
@@ -38,7 +38,7 @@
     return clock.now() - std::chrono::hours(1);
 }
 
-int repeatsTaken(RetryBudgetShare &allowance, Instant now, std::size_t daemons)
+int retriesTaken(RetryBudgetShare &allowance, Instant now, std::size_t daemons)
 {
     int taken = 0;
     while (allowance.tryTake(now, daemons).isGranted)
@@ -48,11 +48,10 @@
 
 } // namespace
 
-TEST_CASE("repeated sends of all daemons stay within the fleet's allowance")
+TEST_CASE("retries of all daemons stay within the fleet's retry budget")
 {
-    // Callers see failures instead of a service that never recovers: when all targets fail, every
-    // daemon would repeat every request. The sum over nine daemons keeps to the ratio and the
-    // slack.
+    // When all targets fail and every daemon retries every request, the service never recovers. The
+    // retries of nine daemons together must stay within the ratio and the slack.
     ManualClock clock;
     constexpr std::size_t Daemons = 9;
     constexpr int Requests = 100;
@@ -61,23 +60,23 @@
         RetryBudgetShare allowance(bounds(), longAgo(clock));
         for (int i = 0; i < Requests; ++i)
             allowance.countRequest(clock.now());
-        taken += repeatsTaken(allowance, clock.now(), Daemons);
+        taken += retriesTaken(allowance, clock.now(), Daemons);
     }
     CHECK(taken > 0);
     CHECK(taken <= 0.2 * Requests * Daemons + 60);
 }
 
-TEST_CASE("an allowance comes back when its window has passed")
+TEST_CASE("a retry budget is available again after its window")
 {
     ManualClock clock;
     RetryBudgetShare allowance(bounds(), longAgo(clock));
-    CHECK(repeatsTaken(allowance, clock.now(), 1) > 0);
+    CHECK(retriesTaken(allowance, clock.now(), 1) > 0);
     CHECK_FALSE(allowance.tryTake(clock.now(), 1).isGranted);
     clock.advance(std::chrono::seconds(11));
     CHECK(allowance.tryTake(clock.now(), 1).isGranted);
 }
 
-TEST_CASE("a daemon that doesn't know the fleet's size repeats by its own requests alone")
+TEST_CASE("a daemon that doesn't know the fleet's size retries by its own requests alone")
 {
     ManualClock clock;
     RetryBudgetShare allowance(bounds(), longAgo(clock));
@@ -91,13 +90,13 @@
     CHECK(taken <= 0.2 * 100);
 }
 
-TEST_CASE("a process that has just started has no part of the slack, and all of it a window later")
+TEST_CASE("a process that has just started has no share of the slack, and all of it a window later")
 {
     ManualClock clock;
     RetryBudgetShare allowance(bounds(), clock.now());
-    CHECK(repeatsTaken(allowance, clock.now(), 1) == 0);
+    CHECK(retriesTaken(allowance, clock.now(), 1) == 0);
     clock.advance(std::chrono::seconds(10));
-    CHECK(repeatsTaken(allowance, clock.now(), 1) == 30);
+    CHECK(retriesTaken(allowance, clock.now(), 1) == 30);
 }
 
 namespace {
@@ -110,12 +109,12 @@
     return route;
 }
 
-/** Requests that were served of those that came. */
+/** Numbers of served and offered requests. */
 struct ServedCount
 {
     double served = 0;
-    double asked = 0;
-    double part() const { return served / asked; }
+    double offered = 0;
+    double fraction() const { return served / offered; }
 };
 
 struct SurgeOutcome
@@ -126,10 +125,10 @@
 };
 
 /**
- * A customer sends twice its limit for twenty seconds: one urgent request of 4,500 units for each
- * two of chat of 1,500 units, on two tiers apart.
+ * A customer sends twice its limit for twenty seconds: one urgent request of 4,500 units for every
+ * two chat requests of 1,500 units, two tiers apart.
  */
-SurgeOutcome surge(bool reserves)
+SurgeOutcome surge(bool usesReserve)
 {
     ManualClock clock;
     LimitReserve reserve;
@@ -141,9 +140,9 @@
     SurgeOutcome outcome;
     const auto send = [&](const RouteRule &route, double units, ServedCount &count) {
         reserve.recordUnits(rule.unit, route, units);
-        const double left = reserves ? reserve.reservedFraction(rule.unit, route) : 0;
-        const bool admitted = bucket.tryTake({units, left}, clock.now());
-        count.asked += 1;
+        const double reserved = usesReserve ? reserve.reservedFraction(rule.unit, route) : 0;
+        const bool admitted = bucket.tryTake({units, reserved}, clock.now());
+        count.offered += 1;
         count.served += admitted ? 1 : 0;
         outcome.units += admitted ? units : 0;
     };
@@ -158,20 +157,19 @@
 
 } // namespace
 
-TEST_CASE("a customer's urgent requests get its units while it asks for more than its limit")
+TEST_CASE("a customer's urgent requests get its units while it exceeds its limit")
 {
-    // The customer's urgent callers are served and its chats hear "too many". It sends twice its
-    // limit of both; by turns of arrival as many urgent requests would be refused as chats, though
-    // each is worth sixteen times as much.
+    // A customer sends twice its limit, in urgent requests and chats. In order of arrival as many
+    // urgent requests as chats would be refused, though each is worth sixteen times as much.
     const SurgeOutcome byArrival = surge(false);
     const SurgeOutcome reserved = surge(true);
-    CHECK(reserved.urgent.part() >= 1.2 * byArrival.urgent.part());
-    CHECK(reserved.chat.part() > 0);
-    // The limit is used up as before, but for what is kept for a moment that doesn't come.
+    CHECK(reserved.urgent.fraction() >= 1.2 * byArrival.urgent.fraction());
+    CHECK(reserved.chat.fraction() > 0);
+    // The limit is still used up, but for units reserved for urgent requests that don't arrive.
     CHECK(reserved.units >= 0.9 * byArrival.units);
 }
 
-TEST_CASE("where a limit counts requests, a customer's routes give way by their tiers")
+TEST_CASE("if a limit counts requests, a customer's routes are ordered by their tiers")
 {
     LimitReserve reserve;
     const RouteRule urgent = limitedRoute("urgent", 1);
@@ -180,11 +178,11 @@
     reserve.recordUnits(LimitUnit::Requests, chat, 1);
     CHECK(reserve.reservedFraction(LimitUnit::Requests, urgent) == 0);
     CHECK(reserve.reservedFraction(LimitUnit::Requests, chat) == doctest::Approx(0.1));
-    // The other unit has learned nothing of them.
+    // Nothing was recorded for the other unit.
     CHECK(reserve.reservedFraction(LimitUnit::Tokens, chat) == 0);
 }
 
-TEST_CASE("policies are switched off by name, and an unknown name is told")
+TEST_CASE("policies are switched off by name, and an unknown name is reported")
 {
     CHECK(policiesWithout({}).value() == PolicySwitches());
     const PolicySwitches some = policiesWithout({"waiting", "limit-reserve"}).value();
