--- a/packages/dispatch/tests/apricothook_customer_rate_limiter_tests.cpp
+++ b/packages/dispatch/tests/apricothook_customer_rate_limiter_tests.cpp
@@ -34,7 +34,7 @@
 constexpr double Rate = 600'000;
 constexpr double Units = 5000;
 
-/** Sends requests evenly over daemons, of a customer that asks for so many units a second. */
+/** Sends a customer's requests evenly to all daemons, at so many units a second. */
 class Callers
 {
 public:
@@ -51,7 +51,7 @@
     }
     void step()
     {
-        for (m_due += m_perStep; m_due >= m_units; m_due -= m_units) {
+        for (m_dueUnits += m_perStep; m_dueUnits >= m_units; m_dueUnits -= m_units) {
             const std::size_t count = m_count ? m_count : m_fleet.size();
             const std::size_t daemon = m_first + m_fleet.random.next() % count;
             m_fleet.send(daemon % m_fleet.size(), m_customer, m_units);
@@ -63,26 +63,26 @@
     const std::size_t m_customer;
     double m_perStep;
     const double m_units;
-    double m_due = 0;
+    double m_dueUnits = 0;
     std::size_t m_first = 0;
     std::size_t m_count = 0;
 };
 
-double servedPart(const LimitCounts &counts, double since, double until)
+double servedFraction(const LimitCounts &counts, double unitsBefore, double unitsOffered)
 {
-    return (counts.admittedUnits - since) / until;
+    return (counts.admittedUnits - unitsBefore) / unitsOffered;
 }
 
 } // namespace
 
-TEST_CASE("a customer's bound is divided among the bucket, grants in use and the credit")
+TEST_CASE("a customer's limit is divided among the bucket, granted units and the credit")
 {
     const FleetBounds limits = bounds();
     const CustomerRule rule = customer("carrier", Rate);
     const CustomerBudget budget = budgetOf(rule, limits);
     const double bound = (Rate * 8 + Rate) * 1.25 + 140'000;
-    const double life = std::chrono::duration<double>(budget.grantLife).count();
-    // Two grantors at once are paid for as long as a grant lives.
+    const double life = std::chrono::duration<double>(budget.grantLifetime).count();
+    // The budget covers two simultaneous grantors for the life of a grant.
     const double most = budget.bucket + budget.perSecond * (8 + 2 * life) + budget.credit
         + budget.creditPerSecond * 8;
     CHECK(most <= bound);
@@ -90,9 +90,9 @@
     CHECK(budget.perSecond == Rate);
 }
 
-TEST_CASE("a customer within its limit is never refused, and has its units in a few milliseconds")
+TEST_CASE("a customer within its limit is never refused and gets its units in a few milliseconds")
 {
-    // Nobody is refused, however few of the customer's requests each daemon sees.
+    // No request is refused, however few of the customer's requests each daemon sees.
     for (const std::size_t daemons : {std::size_t {1}, std::size_t {6}, std::size_t {40}}) {
         CAPTURE(daemons);
         EmulatedLimits fleet(daemons, {customer("carrier", Rate), customer("shop", 20'000)},
@@ -105,10 +105,10 @@
             shop.step();
         });
         fleet.run(seconds(1));
-        for (const std::size_t who : {std::size_t {0}, std::size_t {1}}) {
-            CHECK(fleet.counts(who).refused == 0);
-            CHECK(fleet.counts(who).admitted == fleet.counts(who).asked);
-            CHECK(fleet.counts(who).longestWait <= milliseconds(10));
+        for (const std::size_t index : {std::size_t {0}, std::size_t {1}}) {
+            CHECK(fleet.counts(index).refused == 0);
+            CHECK(fleet.counts(index).admitted == fleet.counts(index).requested);
+            CHECK(fleet.counts(index).longestWait <= milliseconds(10));
         }
     }
 }
@@ -122,9 +122,9 @@
     CHECK(fleet.counts(0).waited == 0);
 }
 
-TEST_CASE("a lower limit is in force at once, and a higher one fills from there")
+TEST_CASE("a lower limit applies at once, and a higher one fills the bucket from there")
 {
-    // The customer hears "too many" as soon as its limit is lowered, whatever its bucket held.
+    // Requests over the limit must be refused as soon as it is lowered, whatever the bucket held.
     EmulatedLimits fleet(6, {customer("carrier", Rate)}, bounds(), 9);
     fleet.run(seconds(14));
     fleet.setCustomers({customer("carrier", Rate / 100)});
@@ -139,36 +139,36 @@
     CHECK(fleet.worstRatio(0) <= 1);
 }
 
-TEST_CASE("where each daemon sees many requests of a customer, most have their units at once")
+TEST_CASE("if each daemon sees many requests of a customer, most get their units at once")
 {
     EmulatedLimits fleet(6, {customer("carrier", Rate)}, bounds(), 11);
     fleet.run(seconds(14));
     Callers carrier(fleet, 0, 0.9 * Rate);
     fleet.run(seconds(4), [&] { carrier.step(); });
     const LimitCounts &counts = fleet.counts(0);
-    CHECK(static_cast<double>(counts.waited) <= 0.4 * static_cast<double>(counts.asked));
+    CHECK(static_cast<double>(counts.waited) <= 0.4 * static_cast<double>(counts.requested));
 }
 
-TEST_CASE("a customer beyond its limit gets all of it and no more")
+TEST_CASE("a customer that exceeds its limit gets all of it and no more")
 {
-    // The customer hears "too many" for the rest. Its surge begins with the traffic, a few requests
-    // at each daemon.
+    // Requests over the limit must be refused. The surge begins without earlier traffic, with a few
+    // requests at each daemon.
     for (const std::size_t daemons : {std::size_t {6}, std::size_t {60}}) {
         CAPTURE(daemons);
         EmulatedLimits fleet(daemons, {customer("carrier", Rate)}, bounds(), 5);
         fleet.run(seconds(14));
         Callers carrier(fleet, 0, 8 * Rate);
         fleet.run(seconds(12), [&] { carrier.step(); });
-        MESSAGE(daemons << " daemons: " << fleet.worstRatio(0) << " of the bound");
+        MESSAGE(daemons << " daemons: " << fleet.worstRatio(0) << " of the limit");
         CHECK(fleet.worstRatio(0) <= 1);
-        CHECK(servedPart(fleet.counts(0), 0, 12 * Rate + Rate) >= 0.97);
+        CHECK(servedFraction(fleet.counts(0), 0, 12 * Rate + Rate) >= 0.97);
     }
 }
 
-TEST_CASE("a customer's bound holds though all daemons are killed in the middle of its surge")
+TEST_CASE("a customer's limit holds if all daemons are killed in the middle of its surge")
 {
-    // The customer hears "too many" while others are served. Two seconds into its surge all daemons
-    // are killed; none knows what was granted, so each bucket starts empty.
+    // All daemons are killed two seconds into a customer's surge. None knows what was granted, so
+    // each bucket must start empty.
     for (const std::uint64_t seed : {1, 2, 3, 4}) {
         EmulatedLimits fleet(40, {customer("carrier", Rate)}, bounds(), seed);
         fleet.run(seconds(14));
@@ -181,15 +181,15 @@
         fleet.run(seconds(10), [&] { carrier.step(); });
         CHECK(fleet.worstRatio(0) <= 1);
         MESSAGE("worst " << fleet.worstRatio(0));
-        CHECK(servedPart(fleet.counts(0), 0, 12 * Rate + Rate) >= 0.75);
+        CHECK(servedFraction(fleet.counts(0), 0, 12 * Rate + Rate) >= 0.75);
     }
 }
 
-TEST_CASE("a customer goes on being served when its grantor dies")
+TEST_CASE("a customer is still served when its grantor dies")
 {
-    // Requests wait for some tenths of a second or use the credit; the next daemon takes over.
+    // Requests wait for some tenths of a second or use the credit until the next daemon takes over.
     EmulatedLimits fleet(20, {customer("carrier", Rate)}, bounds(), 7);
-    fleet.network.silence = seconds(4);
+    fleet.network.silenceTimeout = seconds(4);
     fleet.run(seconds(14));
     Callers carrier(fleet, 0, 0.9 * Rate);
     fleet.run(seconds(4), [&] { carrier.step(); });
@@ -200,20 +200,20 @@
     fleet.run(seconds(8), [&] { carrier.step(); });
     fleet.run(seconds(1));
     MESSAGE("refused " << fleet.counts(0).refused - refusedBefore << " of "
-                       << fleet.counts(0).asked);
-    CHECK(servedPart(fleet.counts(0), before, 8 * 0.9 * Rate) >= 0.9);
+                       << fleet.counts(0).requested);
+    CHECK(servedFraction(fleet.counts(0), before, 8 * 0.9 * Rate) >= 0.9);
     CHECK(fleet.grantors(0) == 1);
     CHECK(fleet.worstRatio(0) <= 1);
 }
 
-TEST_CASE("both sides of a partition together keep to a customer's bound")
+TEST_CASE("both sides of a partition together keep to a customer's limit")
 {
-    // The customer sends eight times its limit on both sides, which can't know of each other.
+    // The customer sends eight times its limit to both sides, which can't know of each other.
     for (const std::uint64_t seed : {1, 2, 3}) {
         for (const std::size_t side : {std::size_t {2}, std::size_t {10}, std::size_t {20}}) {
             CAPTURE(side);
             EmulatedLimits fleet(40, {customer("carrier", Rate)}, bounds(), seed);
-            fleet.network.silence = seconds(4);
+            fleet.network.silenceTimeout = seconds(4);
             fleet.run(seconds(14));
             Callers carrier(fleet, 0, 8 * Rate);
             fleet.run(seconds(1), [&] { carrier.step(); });
@@ -231,13 +231,23 @@
 
 namespace {
 
-/** What may go wrong in a fleet, one thing at a time. */
-enum class Fault { None, GrantorDies, SomeDie, AllDie, GrantorFreezes, Loss, Split, OneWay, Lone };
+/** Faults in a fleet, one at a time. */
+enum class Fault {
+    None,
+    GrantorDies,
+    SomeDie,
+    AllDie,
+    GrantorFreezes,
+    Loss,
+    Partition,
+    OneWayCut,
+    Isolated
+};
 
 constexpr std::size_t Faults = 9;
 
-/** Brings about the fault now and undoes it after some seconds; `step` runs meanwhile. */
-void playFault(EmulatedLimits &fleet, Fault fault, const std::function<void()> &step)
+/** Injects the fault and reverts it after some seconds; `step` runs in the meantime. */
+void injectFault(EmulatedLimits &fleet, Fault fault, const std::function<void()> &step)
 {
     const std::size_t size = fleet.size();
     std::vector<std::size_t> killed;
@@ -262,18 +272,18 @@
         fleet.setFrozen(grantor, true);
         break;
     case Fault::Loss:
-        fleet.network.lost = 0.05;
-        fleet.network.twice = 0.02;
+        fleet.network.lossRate = 0.05;
+        fleet.network.duplicationRate = 0.02;
         break;
-    case Fault::Split:
+    case Fault::Partition:
         fleet.network.isCut
             = [split](std::size_t from, std::size_t to) { return split(from) != split(to); };
         break;
-    case Fault::OneWay:
+    case Fault::OneWayCut:
         fleet.network.isCut
             = [grantor](std::size_t from, std::size_t to) { return from != to && to == grantor; };
         break;
-    case Fault::Lone:
+    case Fault::Isolated:
         fleet.network.isCut = [grantor](std::size_t from, std::size_t to) {
             return from != to && (from == grantor || to == grantor);
         };
@@ -285,32 +295,31 @@
     for (const std::size_t daemon : killed)
         fleet.start(daemon);
     fleet.setFrozen(grantor, false);
-    fleet.network.lost = 0;
-    fleet.network.twice = 0;
+    fleet.network.lossRate = 0;
+    fleet.network.duplicationRate = 0;
     fleet.network.isCut = nullptr;
 }
 
-std::uint64_t seedsToPlay()
+std::uint64_t seedCount()
 {
-    constexpr std::uint64_t InCi = 20;
+    constexpr std::uint64_t DefaultSeeds = 20;
     const char *wanted = std::getenv("LIMIT_SEEDS");
-    return wanted ? std::strtoull(wanted, nullptr, 10) : InCi;
+    return wanted ? std::strtoull(wanted, nullptr, 10) : DefaultSeeds;
 }
 
 } // namespace
 
-TEST_CASE(
-    "a customer's bound holds whatever dies, freezes, is lost or cut off, one after the other")
+TEST_CASE("a customer's limit holds under crashes, freezes, losses and partitions in sequence")
 {
-    // The customer sends up to eight times its limit and hears "too many" for the rest. Faults
-    // come in series, with a calm second or less between them. LIMIT_SEEDS plays more.
+    // The customer sends up to eight times its limit. Faults follow each other, with a calm second
+    // or less between them. LIMIT_SEEDS sets the number of seeds.
     double worst = 0;
-    for (std::uint64_t seed = 1; seed <= seedsToPlay(); ++seed) {
+    for (std::uint64_t seed = 1; seed <= seedCount(); ++seed) {
         DeterministicRandom draw(seed);
         const std::size_t daemons = 2 + draw.next() % 39;
         EmulatedLimits fleet(daemons, {customer("carrier", Rate), customer("shop", 20'000)},
                              bounds(), seed);
-        fleet.network.silence = milliseconds(1000 + draw.next() % 4000);
+        fleet.network.silenceTimeout = milliseconds(1000 + draw.next() % 4000);
         fleet.run(seconds(6 + draw.next() % 9));
         Callers carrier(fleet, 0, Rate);
         Callers shop(fleet, 1, 100'000);
@@ -318,11 +327,11 @@
             carrier.step();
             shop.step();
         };
-        for (int turn = 0; turn < 5; ++turn) {
+        for (int round = 0; round < 5; ++round) {
             carrier.setRate(Rate * static_cast<double>(1 + draw.next() % 8));
             carrier.setDaemons(draw.next() % daemons, draw.next() % 3 == 0 ? 1 : 0);
             fleet.run(milliseconds(draw.next() % 1000), step);
-            playFault(fleet, static_cast<Fault>(draw.next() % Faults), step);
+            injectFault(fleet, static_cast<Fault>(draw.next() % Faults), step);
         }
         fleet.run(seconds(3), step);
         const double ratio = std::max(fleet.worstRatio(0), fleet.worstRatio(1));
@@ -331,36 +340,38 @@
         CHECK(ratio <= 1);
         worst = std::max(worst, ratio);
     }
-    MESSAGE("worst ratio to the bound " << worst);
+    MESSAGE("worst ratio to the limit " << worst);
 }
 
-TEST_CASE("a customer within its limit is served through any one fault")
+TEST_CASE("a customer within its limit is served during any single fault")
 {
-    // Some requests wait for a few tenths of a second, some are refused; nine in ten are served.
+    // Some requests wait for a few tenths of a second and some are refused; nine in ten must be
+    // served.
     double least = 1;
-    for (std::uint64_t seed = 1; seed <= seedsToPlay(); ++seed) {
+    for (std::uint64_t seed = 1; seed <= seedCount(); ++seed) {
         const auto fault = static_cast<Fault>(seed % Faults);
-        // After all have died nobody knows what was admitted, and a side of a partition may have
-        // but its part.
-        const bool isWhole = fault != Fault::AllDie && fault != Fault::Split;
+        // After all daemons died none knows what was admitted, and one side of a partition may have
+        // only its part of the limit.
+        const bool hasFullLimit = fault != Fault::AllDie && fault != Fault::Partition;
         const std::size_t daemons = 3 + seed % 30;
-        // A daemon that is cut off from all others has its part of the credit for its own callers.
-        const bool isOneAway = fault == Fault::OneWay || fault == Fault::Lone;
-        const double reached = isOneAway ? 1 - 1 / static_cast<double>(daemons) : 1;
+        // A daemon that is cut off from all others has only its share of the credit for its
+        // callers.
+        const bool isOneIsolated = fault == Fault::OneWayCut || fault == Fault::Isolated;
+        const double reached = isOneIsolated ? 1 - 1 / static_cast<double>(daemons) : 1;
         EmulatedLimits fleet(daemons, {customer("carrier", Rate)}, bounds(), seed);
         fleet.run(seconds(14));
         Callers carrier(fleet, 0, 0.95 * Rate);
         const auto step = [&] { carrier.step(); };
         fleet.run(seconds(2), step);
-        playFault(fleet, fault, step);
+        injectFault(fleet, fault, step);
         fleet.run(seconds(4), step);
         fleet.run(seconds(1));
         const LimitCounts &counts = fleet.counts(0);
-        const double served = counts.admittedUnits / counts.askedUnits;
+        const double served = counts.admittedUnits / counts.requestedUnits;
         CAPTURE(seed);
         CAPTURE(static_cast<int>(fault));
-        CHECK(served >= (isWhole ? 0.9 : 0.6) * reached);
-        least = isWhole ? std::min(least, served) : least;
+        CHECK(served >= (hasFullLimit ? 0.9 : 0.6) * reached);
+        least = hasFullLimit ? std::min(least, served) : least;
     }
     MESSAGE("least served " << least);
 }
--- a/packages/dispatch/tests/apricothook_dispatch_bench.hpp
+++ b/packages/dispatch/tests/apricothook_dispatch_bench.hpp
@@ -11,8 +11,8 @@
 
 inline const ServiceId Service("s");
 
-/** Keeps what the dispatcher decides. */
-class Placements : public DispatchListener
+/** Records the dispatcher's decisions. */
+class RecordedDecisions : public DispatchListener
 {
 public:
     void onPlaced(ExchangeId exchange, const TargetEntry &target) override
@@ -20,19 +20,19 @@
         placed.push_back(exchange.value());
         targets.push_back(target.id.text());
     }
-    void onRefused(ExchangeId exchange, const RefusalDetails &facts) override
+    void onRefused(ExchangeId exchange, const RefusalDetails &details) override
     {
         refused.push_back(exchange.value());
-        last = facts;
+        lastRefusal = details;
     }
 
     std::vector<std::uint64_t> placed;
     std::vector<std::string> targets;
     std::vector<std::uint64_t> refused;
-    RefusalDetails last;
+    RefusalDetails lastRefusal;
 };
 
-/** A daemon's decisions about one service, without input and output. */
+/** Dispatching for one service at one daemon, without I/O. */
 struct DispatchBench
 {
     explicit DispatchBench(const ColdTargetLimiter &cold = ColdTargetLimiter())
@@ -42,7 +42,7 @@
 
     ManualClock clock;
     TargetTable targets;
-    Placements placements;
+    RecordedDecisions placements;
     Dispatcher dispatcher {targets, placements};
 
     TargetEntry entryOf(const std::string &id, std::uint32_t slots,
@@ -56,34 +56,34 @@
         entry.slots = slots;
         return entry;
     }
-    void target(const std::string &id, std::uint32_t slots)
+    void addTarget(const std::string &id, std::uint32_t slots)
     {
         targets.put(entryOf(id, slots), clock.now());
     }
-    QueuedRequest work(std::uint64_t id, std::uint8_t tier = 1) const
+    QueuedRequest request(std::uint64_t id, std::uint8_t tier = 1) const
     {
-        QueuedRequest work;
-        work.exchange = ExchangeId(id);
-        work.service = Service;
-        work.rank = {Tier(1), Tier(tier)};
-        work.size = {1000, 10, true};
-        work.arrived = clock.now();
-        work.objective = std::chrono::milliseconds(400);
-        work.deadline = clock.now() + std::chrono::seconds(15);
-        return work;
+        QueuedRequest request;
+        request.exchange = ExchangeId(id);
+        request.service = Service;
+        request.rank = {Tier(1), Tier(tier)};
+        request.size = {1000, 10, true};
+        request.arrived = clock.now();
+        request.objective = std::chrono::milliseconds(400);
+        request.deadline = clock.now() + std::chrono::seconds(15);
+        return request;
     }
     void offer(std::uint64_t id, std::uint8_t tier = 1)
     {
-        dispatcher.submit(work(id, tier), clock.now());
+        dispatcher.submit(request(id, tier), clock.now());
     }
-    void end(const std::string &target)
+    void finish(const std::string &target)
     {
         targets.requestEnded({TargetId(target)}, {1000, 10, true}, TargetOutcome::Served,
                              std::chrono::milliseconds(300), false, clock.now());
         dispatcher.review(clock.now());
     }
-    /** Two samples, so that the target's speed is known. */
-    void teach(const std::string &id, std::chrono::milliseconds gap)
+    /** Records two samples, so that the target's speed is known. */
+    void recordSpeed(const std::string &id, std::chrono::milliseconds gap)
     {
         targets.find(TargetId(id))->speed.addGap(gap);
         targets.find(TargetId(id))->speed.addFirstEvent(1000, gap * 4);
--- a/packages/dispatch/tests/apricothook_dispatcher_tests.cpp
+++ b/packages/dispatch/tests/apricothook_dispatcher_tests.cpp
@@ -12,35 +12,35 @@
 
 using namespace Apricothook;
 
-TEST_CASE("requests wait here when every slot is taken, the most important first")
+TEST_CASE("requests are queued when every slot is taken, and the most important is placed first")
 {
-    // Callers of the higher tier are answered first. An engine serves first come first served, so
-    // what waits there can't be overtaken.
+    // Requests of the higher tier must be placed first. An engine serves in order of arrival, so a
+    // request that is queued there can't be overtaken.
     DispatchBench bench;
-    bench.target("t", 4);
+    bench.addTarget("t", 4);
     for (std::uint64_t id = 1; id <= 4; ++id)
         bench.offer(id, 2);
     bench.offer(5, 2);
     bench.offer(6, 1);
     CHECK(bench.placements.placed == std::vector<std::uint64_t> {1, 2, 3, 4});
-    bench.end("t");
+    bench.finish("t");
     CHECK(bench.placements.placed.back() == 6);
-    bench.end("t");
+    bench.finish("t");
     CHECK(bench.placements.placed.back() == 5);
     CHECK(bench.placements.refused.empty());
 }
 
-TEST_CASE("slots that other daemons have taken aren't free")
+TEST_CASE("slots used by other daemons aren't free")
 {
     DispatchBench bench;
-    bench.target("t", 2);
+    bench.addTarget("t", 2);
     bench.targets.setMemberLoad(7, {{targetHash({TargetId("t")}), 2}});
     bench.offer(1);
     CHECK(bench.placements.placed.empty());
     bench.targets.setMemberLoad(7, {{targetHash({TargetId("t")}), 1}});
     bench.dispatcher.review(bench.clock.now());
     CHECK(bench.placements.placed.size() == 1);
-    // A member that fell silent leaves no load behind.
+    // The load of a member that fell silent is removed.
     bench.targets.setMemberLoad(7, {});
     bench.offer(2);
     CHECK(bench.placements.placed.size() == 2);
@@ -49,7 +49,7 @@
 TEST_CASE("a free slot is left to a more important request at another daemon")
 {
     DispatchBench bench;
-    bench.target("t", 1);
+    bench.addTarget("t", 1);
     bench.dispatcher.setMemberQueueLengths(7, {{serviceHash(Service), {Tier(1), Tier(1)}, 1}});
     bench.offer(1, 2);
     CHECK(bench.placements.placed.empty());
@@ -57,12 +57,12 @@
     CHECK(bench.placements.placed == std::vector<std::uint64_t> {2});
 }
 
-TEST_CASE("a request that can't be on time is refused with a time to come back")
+TEST_CASE("a request that can't be on time is refused with a time to retry")
 {
-    // The caller hears at once that its request didn't run and when there may be room. Held longer,
-    // it would be late and make others late too.
+    // A request that would be late must be refused with the time at which there may be capacity. If
+    // it is held longer, it is late and delays others too.
     DispatchBench bench;
-    bench.target("t", 4);
+    bench.addTarget("t", 4);
     for (std::uint64_t id = 1; id <= 5; ++id)
         bench.offer(id);
     CHECK(bench.placements.refused.empty());
@@ -71,42 +71,42 @@
     bench.clock.advance(std::chrono::milliseconds(400));
     bench.dispatcher.review(bench.clock.now());
     CHECK(bench.placements.refused == std::vector<std::uint64_t> {5});
-    CHECK(bench.placements.last.retryAfter >= Dispatcher::ShortestRetryAfter);
+    CHECK(bench.placements.lastRefusal.retryAfter >= Dispatcher::ShortestRetryAfter);
     CHECK(bench.dispatcher.waiting() == 0);
 }
 
 TEST_CASE("a request behind a long queue is refused when it arrives")
 {
     DispatchBench bench;
-    bench.target("t", 1);
+    bench.addTarget("t", 1);
     bench.offer(1);
     bench.dispatcher.setMemberQueueLengths(7, {{serviceHash(Service), {Tier(1), Tier(1)}, 50}});
     bench.offer(2);
     CHECK(bench.placements.refused == std::vector<std::uint64_t> {2});
-    CHECK(bench.placements.last.ahead == 50);
+    CHECK(bench.placements.lastRefusal.ahead == 50);
 }
 
-TEST_CASE("draining, tried and avoided targets get nothing new")
+TEST_CASE("draining and already tried targets get no new requests")
 {
     DispatchBench bench;
-    bench.target("a", 4);
-    bench.target("b", 4);
+    bench.addTarget("a", 4);
+    bench.addTarget("b", 4);
     TargetEntry draining = bench.targets.find(TargetId("a"))->entry;
     draining.isDraining = true;
     bench.targets.put(draining, bench.clock.now());
     bench.offer(1);
     CHECK(bench.placements.targets == std::vector<std::string> {"b"});
-    QueuedRequest tried = bench.work(2);
+    QueuedRequest tried = bench.request(2);
     tried.excluded = {{TargetId("b")}};
     bench.dispatcher.submit(tried, bench.clock.now());
     CHECK(bench.placements.refused == std::vector<std::uint64_t> {2});
 }
 
-TEST_CASE("a target that can't be reached is avoided for longer each time")
+TEST_CASE("an unreachable target is avoided for longer each time")
 {
     DispatchBench bench;
-    bench.target("a", 4);
-    bench.target("b", 4);
+    bench.addTarget("a", 4);
+    bench.addTarget("b", 4);
     const RequestSize size {1000, 10, true};
     Duration before {};
     for (int i = 0; i < 3; ++i) {
@@ -121,44 +121,45 @@
     for (std::uint64_t id = 1; id <= 4; ++id)
         bench.offer(id);
     CHECK(bench.placements.targets == std::vector<std::string>(4, "b"));
-    // It has room because it fails everything; a sound target's next slot is worth the wait.
+    // It has free slots because it fails every request; waiting for a healthy target's next slot is
+    // better.
     bench.offer(5);
     CHECK(bench.placements.targets.size() == 4);
-    // With no sound target left it is better than a refusal.
+    // If no healthy target is left, it is better than a refusal.
     bench.targets.requestEnded({TargetId("b")}, size, TargetOutcome::Unreachable, Duration(1000),
                                false, bench.clock.now());
     bench.dispatcher.review(bench.clock.now());
     CHECK(bench.placements.targets.size() == 5);
 }
 
-TEST_CASE("long work goes to a target that ends it in time")
+TEST_CASE("a long request goes to a target that completes it in time")
 {
-    // The caller of a long stream sees its end. On the slow engine it would be cut at its deadline,
-    // and all that was read for it would be lost.
+    // On the slow engine a long stream would be cut off at its deadline, and the processing of its
+    // prompt would be lost.
     DispatchBench bench;
-    bench.target("fast", 1);
-    bench.target("slow", 4);
-    bench.teach("fast", std::chrono::milliseconds(10));
-    bench.teach("slow", std::chrono::milliseconds(60));
-    QueuedRequest longWork = bench.work(1);
-    longWork.size.events = 400;
-    bench.dispatcher.submit(longWork, bench.clock.now());
+    bench.addTarget("fast", 1);
+    bench.addTarget("slow", 4);
+    bench.recordSpeed("fast", std::chrono::milliseconds(10));
+    bench.recordSpeed("slow", std::chrono::milliseconds(60));
+    QueuedRequest longRequest = bench.request(1);
+    longRequest.size.events = 400;
+    bench.dispatcher.submit(longRequest, bench.clock.now());
     CHECK(bench.placements.targets == std::vector<std::string> {"fast"});
 
-    SUBCASE("the next one waits for it while short work goes to the slow one")
+    SUBCASE("the next one waits for it while a short request goes to the slow one")
     {
-        longWork.exchange = ExchangeId(2);
-        bench.dispatcher.submit(longWork, bench.clock.now());
+        longRequest.exchange = ExchangeId(2);
+        bench.dispatcher.submit(longRequest, bench.clock.now());
         bench.offer(3);
         CHECK(bench.placements.targets == std::vector<std::string> {"fast", "slow"});
         CHECK(bench.placements.placed.back() == 3);
     }
 }
 
-TEST_CASE("routes are ordered by worth for the time that they hold a slot")
+TEST_CASE("routes are ordered by value per slot time")
 {
     // Short checks of a low tier are served beside long reports of the highest one: they take a
-    // twentieth of the time, and shutting them out would gain nothing.
+    // twentieth of the time, so shutting them out would gain nothing.
     RouteUrgency urgency;
     for (int i = 0; i < 50; ++i) {
         urgency.recordHoldTime(Service, ClassId("report"), Tier(1),
@@ -174,13 +175,13 @@
     CHECK(urgency.tierOf(ServiceId("unknown"), ClassId("x"), Tier(4)) == Tier(4));
 }
 
-TEST_CASE("a cell keeps to its part of the slots, and goes beyond it when its targets fail")
+TEST_CASE("a cell keeps to its share of the slots, and exceeds it when its targets fail")
 {
-    // The caller is answered by a target of another cell after the own cell's target can't be
-    // reached. Cells don't know each other's load, so only one request goes there.
+    // If the own cell's targets can't be reached, targets of other cells are used. Cells don't know
+    // each other's load, so each of these targets gets only one request.
     DispatchBench bench;
     for (int index = 0; index < 20; ++index)
-        bench.target("t" + std::to_string(index), 8);
+        bench.addTarget("t" + std::to_string(index), 8);
     bench.targets.setCells({{1, 1}, 0});
     std::uint64_t id = 0;
     while (bench.placements.refused.empty() && bench.dispatcher.waiting() == 0)
@@ -189,7 +190,7 @@
 
     DispatchBench failing;
     for (int index = 0; index < 6; ++index)
-        failing.target("t" + std::to_string(index), 8);
+        failing.addTarget("t" + std::to_string(index), 8);
     failing.targets.setCells({{1, 1}, 0});
     failing.offer(1);
     const std::set<std::string> before(failing.placements.targets.begin(),
@@ -215,47 +216,47 @@
     CHECK(elsewhere.size() == 6 - ofCell.size());
 }
 
-TEST_CASE("a target that starts again begins with nothing that was believed of it")
+TEST_CASE("a restarted target begins without the state of its previous instance")
 {
-    // The caller is served by the new start at once. The former one was full, failing and slow; it
-    // ends, and the target is back under its id. Loads that others still tell of the former start,
-    // and the late end of a request that it had, don't count at the new one.
+    // The previous instance was full, failing and slow; the target restarts under its id. Load that
+    // others still report for the previous instance, and the late end of one of its requests, must
+    // not count for the new one.
     DispatchBench bench;
-    bench.target("a", 1);
+    bench.addTarget("a", 1);
     const RequestSize size {1000, 10, true};
-    const TargetInstance former {TargetId("a")};
+    const TargetInstance previous {TargetId("a")};
     bench.offer(1);
     for (int failure = 0; failure < 3; ++failure)
-        bench.targets.requestEnded(former, size, TargetOutcome::Unreachable, Duration(1000), false,
-                                   bench.clock.now());
-    bench.targets.setMemberLoad(7, {{targetHash(former), 1}});
+        bench.targets.requestEnded(previous, size, TargetOutcome::Unreachable, Duration(1000),
+                                   false, bench.clock.now());
+    bench.targets.setMemberLoad(7, {{targetHash(previous), 1}});
     bench.offer(2);
     REQUIRE(bench.placements.refused == std::vector<std::uint64_t> {2});
 
-    TargetEntry again = bench.targets.find(TargetId("a"))->entry;
-    again.startedAt = 1000;
-    bench.targets.put(again, bench.clock.now());
+    TargetEntry restarted = bench.targets.find(TargetId("a"))->entry;
+    restarted.startedAt = 1000;
+    bench.targets.put(restarted, bench.clock.now());
     const TrackedTarget &target = *bench.targets.find(TargetId("a"));
     CHECK(target.load() == 0);
     CHECK(target.avoidedUntil <= bench.clock.now());
     CHECK_FALSE(target.speed.failures.value());
     bench.offer(3);
     REQUIRE(bench.placements.placed == std::vector<std::uint64_t> {1, 3});
-    bench.targets.requestEnded(former, size, TargetOutcome::Unreachable, Duration(1000), false,
+    bench.targets.requestEnded(previous, size, TargetOutcome::Unreachable, Duration(1000), false,
                                bench.clock.now());
     CHECK(target.ownRequests == 1);
     CHECK(target.failuresInRow == 0);
 }
 
-TEST_CASE("a request that a target's former start had may go to its new start")
+TEST_CASE("a request that was tried at a target's previous instance may go to its new one")
 {
     DispatchBench bench;
-    bench.target("a", 1);
-    QueuedRequest tried = bench.work(1);
+    bench.addTarget("a", 1);
+    QueuedRequest tried = bench.request(1);
     tried.excluded = {{TargetId("a")}};
-    TargetEntry again = bench.targets.find(TargetId("a"))->entry;
-    again.startedAt = 1000;
-    bench.targets.put(again, bench.clock.now());
+    TargetEntry restarted = bench.targets.find(TargetId("a"))->entry;
+    restarted.startedAt = 1000;
+    bench.targets.put(restarted, bench.clock.now());
     bench.dispatcher.submit(tried, bench.clock.now());
     CHECK(bench.placements.placed == std::vector<std::uint64_t> {1});
 }
@@ -266,13 +267,13 @@
 {
     int served = 0;
     int longest = 0;
-    int servedOfLongest = 0;
+    int longestServed = 0;
 };
 
 /**
- * Four slots and for four seconds a request every 10 ms whose length is drawn from a heavy tail:
- * half take 40 ms, one in ten a second. Together they ask three times what there is; with another
- * pause between them, less.
+ * Four slots receive a request every 10 ms for four seconds, with durations drawn from a heavy
+ * tail: half take 40 ms, one in ten takes a second. Together they need three times the available
+ * slot time, or less with a longer pause.
  */
 BurstOutcome heavyTailedBurst(bool bySize,
                               std::chrono::milliseconds pause = std::chrono::milliseconds(10))
@@ -280,7 +281,7 @@
     constexpr int Requests = 400;
     constexpr std::array Lengths {40, 40, 40, 40, 40, 80, 80, 160, 320, 1000};
     DispatchBench bench;
-    bench.target("t", 4);
+    bench.addTarget("t", 4);
     SizeOrder sizes;
     const ClassId route("r");
     std::vector<std::pair<Instant, bool>> running;
@@ -300,7 +301,7 @@
             const int length = lengthOf.at(id);
             running.emplace_back(bench.clock.now() + std::chrono::milliseconds(length), true);
             ++outcome.served;
-            outcome.servedOfLongest += length == Lengths.back() ? 1 : 0;
+            outcome.longestServed += length == Lengths.back() ? 1 : 0;
         }
         bench.placements.placed.clear();
     };
@@ -309,13 +310,13 @@
         lengthOf.push_back(length);
         sizes.recordSize(route, length);
         outcome.longest += length == Lengths.back() ? 1 : 0;
-        QueuedRequest work = bench.work(static_cast<std::uint64_t>(request));
+        QueuedRequest queued = bench.request(static_cast<std::uint64_t>(request));
         const int level = bySize ? sizes.level(route, length, request / 10 % 4 / 4.0) : 0;
-        work.rank.route = Tier(static_cast<std::uint8_t>(3 + level));
+        queued.rank.route = Tier(static_cast<std::uint8_t>(3 + level));
         finishUntilNow();
         bench.dispatcher.review(bench.clock.now());
         startPlaced();
-        bench.dispatcher.submit(work, bench.clock.now());
+        bench.dispatcher.submit(queued, bench.clock.now());
         startPlaced();
         bench.clock.advance(pause);
     }
@@ -324,27 +325,27 @@
 
 } // namespace
 
-TEST_CASE("in a burst of unlike lengths more callers are served when the short ones go first")
+TEST_CASE("in a burst of mixed durations more requests are served if the short ones go first")
 {
-    // Callers of short requests are answered. In order of arrival one long answer holds the slot
-    // that twenty-five short ones would have had, and their callers are refused.
+    // In order of arrival one long answer occupies the slot that twenty-five short ones would have
+    // had, and their callers are refused.
     const BurstOutcome byArrival = heavyTailedBurst(false);
     const BurstOutcome bySize = heavyTailedBurst(true);
     CHECK(bySize.served >= 1.2 * byArrival.served);
-    CHECK(bySize.servedOfLongest > 0);
+    CHECK(bySize.longestServed > 0);
 }
 
-TEST_CASE("in a burst that asks for twice the slots' time a tenth of the longest is served")
+TEST_CASE("in a burst that needs twice the slot time a tenth of the longest requests is served")
 {
-    // Callers of long requests are answered too, as some of these count as usual ones.
+    // Long requests must be served too, because some of them count as being of usual size.
     constexpr std::chrono::milliseconds Pause {20};
     const BurstOutcome byArrival = heavyTailedBurst(false, Pause);
     const BurstOutcome bySize = heavyTailedBurst(true, Pause);
     CHECK(bySize.served >= 1.2 * byArrival.served);
-    CHECK(bySize.servedOfLongest >= 0.1 * bySize.longest);
+    CHECK(bySize.longestServed >= 0.1 * bySize.longest);
 }
 
-TEST_CASE("a route's sizes are told apart by an octave on either side of its usual one")
+TEST_CASE("sizes within a route are distinguished by an octave on either side of the mean")
 {
     SizeOrder sizes;
     const ClassId route("r");
@@ -357,21 +358,21 @@
     CHECK(sizes.level(route, 1, 1) == -SizeOrder::MostLevels);
     CHECK(sizes.level(ClassId("other"), 1, 1) == 0);
     CHECK(sizes.level(route, 0, 1) == 0);
-    // By lot a large request counts as a usual one, and a few go with the smallest; a small one
-    // doesn't go later for it.
+    // By random draw a large request counts as being of usual size, and a few rank with the
+    // smallest; small ones don't rank lower because of it.
     CHECK(sizes.level(route, 100'000, 0) == -SizeOrder::MostLevels);
-    CHECK(sizes.level(route, 100'000, SizeOrder::FirstLotPart) == 0);
+    CHECK(sizes.level(route, 100'000, SizeOrder::SmallestSizeFraction) == 0);
     CHECK(sizes.level(route, 100'000, 0.24) == 0);
-    CHECK(sizes.level(route, 100'000, SizeOrder::LotPart) == SizeOrder::MostLevels);
+    CHECK(sizes.level(route, 100'000, SizeOrder::UsualSizeFraction) == SizeOrder::MostLevels);
     CHECK(sizes.level(route, 65, 0) == -1);
 }
 
-TEST_CASE("a waiting request that more urgent ones have overtaken for good is refused at once")
+TEST_CASE("a queued request that more urgent ones have overtaken for too long is refused at once")
 {
-    // The caller hears at once that its request didn't run, and may come back in time. It would
-    // have had a place when it came; then urgent requests came for longer than it may wait.
+    // The request would have been placed in time when it arrived; then urgent requests arrived for
+    // longer than it may wait. It must be refused while its caller can still retry.
     DispatchBench bench;
-    bench.target("t", 4);
+    bench.addTarget("t", 4);
     for (std::uint64_t id = 0; id < 4; ++id)
         bench.offer(id);
     bench.offer(4, 3);
@@ -380,40 +381,40 @@
     CHECK(bench.placements.refused.empty());
     bench.offer(6, 2);
     CHECK(bench.placements.refused == std::vector<std::uint64_t> {4});
-    // Those that overtook it wait on.
-    bench.end("t");
+    // The requests that overtook it keep waiting.
+    bench.finish("t");
     CHECK(bench.placements.placed.back() == 5);
     CHECK(bench.placements.refused.size() == 1);
 }
 
-TEST_CASE("a caller that is refused for want of room comes back as late as it may")
+TEST_CASE("a caller that is refused for lack of capacity retries as late as possible")
 {
-    // The caller is served when the surge has passed. The queue's length promises a place in some
-    // tenths of a second, but new requests keep coming; whoever returns by it is refused again.
+    // By the queue's length there is capacity in some tenths of a second, but new requests keep
+    // arriving during a surge, and a caller that retries by then is refused again.
     DispatchBench bench;
-    bench.target("t", 1);
+    bench.addTarget("t", 1);
     for (std::uint64_t id = 0; id < 20; ++id)
         bench.offer(id);
     REQUIRE_FALSE(bench.placements.refused.empty());
-    CHECK(bench.placements.last.expectedWait < std::chrono::seconds(1));
-    CHECK(bench.placements.last.retryAfter == Dispatcher::LongestRetryAfter);
+    CHECK(bench.placements.lastRefusal.expectedWait < std::chrono::seconds(1));
+    CHECK(bench.placements.lastRefusal.retryAfter == Dispatcher::LongestRetryAfter);
 
-    QueuedRequest brief = bench.work(20);
-    brief.deadline = bench.clock.now() + std::chrono::milliseconds(1500);
-    bench.dispatcher.submit(brief, bench.clock.now());
+    QueuedRequest shortRequest = bench.request(20);
+    shortRequest.deadline = bench.clock.now() + std::chrono::milliseconds(1500);
+    bench.dispatcher.submit(shortRequest, bench.clock.now());
     REQUIRE(bench.placements.refused.back() == 20);
-    CHECK(bench.placements.last.retryAfter <= std::chrono::milliseconds(500));
-    CHECK(bench.placements.last.retryAfter > std::chrono::milliseconds(499));
+    CHECK(bench.placements.lastRefusal.retryAfter <= std::chrono::milliseconds(500));
+    CHECK(bench.placements.lastRefusal.retryAfter > std::chrono::milliseconds(499));
 }
 
-TEST_CASE("a caller that is refused for want of a target comes back soon")
+TEST_CASE("a caller that is refused for lack of a target retries soon")
 {
-    // The caller is served as soon as the daemon knows a target: after a start of all daemons that
-    // takes some hundred milliseconds, not seconds.
+    // After a start of all daemons a daemon knows its targets within some hundred milliseconds, so
+    // a caller must not be asked to retry seconds later.
     DispatchBench bench;
-    QueuedRequest work = bench.work(1);
-    work.objective = std::chrono::milliseconds(10);
-    bench.dispatcher.submit(work, bench.clock.now());
+    QueuedRequest request = bench.request(1);
+    request.objective = std::chrono::milliseconds(10);
+    bench.dispatcher.submit(request, bench.clock.now());
     REQUIRE(bench.placements.refused == std::vector<std::uint64_t> {1});
-    CHECK(bench.placements.last.retryAfter <= std::chrono::milliseconds(500));
+    CHECK(bench.placements.lastRefusal.retryAfter <= std::chrono::milliseconds(500));
 }
--- a/packages/dispatch/tests/apricothook_emulated_limits.cpp
+++ b/packages/dispatch/tests/apricothook_emulated_limits.cpp
@@ -11,16 +11,16 @@
 
 constexpr std::chrono::milliseconds Step {1};
 constexpr std::chrono::milliseconds Tick {200};
-/** Silent daemons may be serving out of sight for so long. */
-constexpr std::chrono::seconds KnownTime {12};
-/** Until a started daemon and the others have heard of each other, at most. */
+/** Time for which silent daemons count as possibly serving. */
+constexpr std::chrono::seconds SilentMemberTime {12};
+/** Longest time until a daemon that starts and the others have discovered each other. */
 constexpr std::chrono::milliseconds LongestDiscovery {800};
-/** A daemon knows the fleet when it has heard of nobody new for so long. */
-constexpr std::chrono::milliseconds QuietTime {400};
-constexpr std::chrono::milliseconds YoungTime {500};
-constexpr std::chrono::seconds OldTime {5};
-/** A daemon that hears less than half of the seeds takes them for gone after so long. */
-constexpr std::chrono::seconds LoneTime {20};
+/** A daemon knows the fleet once it has discovered no other daemon for this time. */
+constexpr std::chrono::milliseconds DiscoveryQuietTime {400};
+constexpr std::chrono::milliseconds ShortestDiscoveryAge {500};
+constexpr std::chrono::seconds LongestDiscoveryAge {5};
+/** Time after which a daemon that hears less than half of the seeds considers them gone. */
+constexpr std::chrono::seconds MissingSeedsTime {20};
 constexpr std::size_t Seeds = 3;
 constexpr std::chrono::seconds StartedTogether {1};
 
@@ -39,8 +39,8 @@
         , index(index)
         , limits(fleet.m_bounds, peerOf(index), *this, *this, *this, fleet.random)
         , started(fleet.now())
-        , news(fleet.now())
-        , ticked(fleet.now() - Tick + firstTick)
+        , lastDiscovery(fleet.now())
+        , lastTick(fleet.now() - Tick + firstTick)
     {
     }
 
@@ -48,9 +48,9 @@
     {
         fleet.post(index, to, message);
     }
-    void onLimitDecided(ExchangeId exchange, const LimitDecision &verdict) override
+    void onLimitDecided(ExchangeId exchange, const LimitDecision &decision) override
     {
-        fleet.decided(exchange.value(), verdict);
+        fleet.decided(exchange.value(), decision);
     }
     void onGrantorChanged(std::uint64_t customer, GrantorChange change, double) override
     {
@@ -63,11 +63,11 @@
     EmulatedLimits &fleet;
     std::size_t index;
     CustomerRateLimiter limits;
-    ReachabilityEstimator reach;
+    ReachabilityEstimator reachability;
     Instant started {};
-    Instant news {};
-    Instant ticked {};
-    std::map<std::size_t, Instant> heard;
+    Instant lastDiscovery {};
+    Instant lastTick {};
+    std::map<std::size_t, Instant> lastHeard;
     std::set<std::uint64_t> grants;
     bool isAlive = true;
     bool isFrozen = false;
@@ -88,7 +88,7 @@
 
 EmulatedLimits::~EmulatedLimits() = default;
 
-double EmulatedLimits::chance()
+double EmulatedLimits::uniform()
 {
     constexpr double Scale = 1.0 / 18446744073709551616.0;
     return static_cast<double>(random.next()) * Scale;
@@ -96,7 +96,7 @@
 
 void EmulatedLimits::start(std::size_t daemon)
 {
-    const auto firstTick = std::chrono::duration_cast<Duration>(Tick * chance());
+    const auto firstTick = std::chrono::duration_cast<Duration>(Tick * uniform());
     m_nodes[daemon] = std::make_unique<Node>(*this, daemon, firstTick);
     m_nodes[daemon]->limits.setFleet({{}, 1, false, std::nullopt}, now());
     m_nodes[daemon]->limits.setCustomers(m_customers, now());
@@ -128,24 +128,24 @@
 void EmulatedLimits::post(std::size_t from, const Endpoint &to, const LimitMessage &message)
 {
     const std::size_t receiver = to.port - 1U;
-    const std::size_t copies = 1 + (chance() < network.twice ? 1 : 0);
+    const std::size_t copies = 1 + (uniform() < network.duplicationRate ? 1 : 0);
     for (std::size_t copy = 0; copy < copies; ++copy) {
-        if (chance() < network.lost || !reaches(from, receiver))
+        if (uniform() < network.lossRate || !reaches(from, receiver))
             continue;
-        const auto more = std::chrono::duration_cast<Duration>(network.jitter * chance());
-        m_way.push({now() + network.delay + more, ++m_posted, from, receiver, message});
+        const auto jitter = std::chrono::duration_cast<Duration>(network.jitter * uniform());
+        m_inTransit.push({now() + network.delay + jitter, ++m_posted, from, receiver, message});
     }
 }
 
 void EmulatedLimits::deliver()
 {
-    std::vector<Datagram> kept;
-    while (!m_way.empty() && m_way.top().at <= now()) {
-        const Datagram datagram = m_way.top();
-        m_way.pop();
+    std::vector<Datagram> deferred;
+    while (!m_inTransit.empty() && m_inTransit.top().at <= now()) {
+        const Datagram datagram = m_inTransit.top();
+        m_inTransit.pop();
         Node &node = *m_nodes[datagram.to];
         if (node.isFrozen) {
-            kept.push_back(datagram);
+            deferred.push_back(datagram);
             continue;
         }
         if (!node.isAlive)
@@ -153,60 +153,60 @@
         std::visit([&](const auto &message) { node.limits.take(message, now()); },
                    datagram.message);
     }
-    for (const Datagram &datagram : kept)
-        m_way.push(datagram);
+    for (const Datagram &datagram : deferred)
+        m_inTransit.push(datagram);
 }
 
-void EmulatedLimits::tellFleet(std::size_t daemon)
+void EmulatedLimits::updateFleet(std::size_t daemon)
 {
     Node &node = *m_nodes[daemon];
     for (std::size_t other = 0; other < m_nodes.size(); ++other) {
-        const Node &mate = *m_nodes[other];
-        if (other == daemon || !mate.isAlive || mate.isFrozen || !reaches(other, daemon))
+        const Node &peer = *m_nodes[other];
+        if (other == daemon || !peer.isAlive || peer.isFrozen || !reaches(other, daemon))
             continue;
-        const Instant met = std::max(node.started, mate.started);
+        const Instant bothStarted = std::max(node.started, peer.started);
         const Duration discovery
             = LongestDiscovery * static_cast<std::int64_t>((daemon * 7 + other * 13) % 16) / 16;
-        if (now() - met < discovery)
+        if (now() - bothStarted < discovery)
             continue;
-        const auto [known, isNew] = node.heard.try_emplace(other, now());
-        if (isNew || known->second < mate.started)
-            node.news = now();
+        const auto [known, isNew] = node.lastHeard.try_emplace(other, now());
+        if (isNew || known->second < peer.started)
+            node.lastDiscovery = now();
         known->second = now();
     }
-    std::erase_if(node.heard,
-                  [this](const auto &entry) { return now() - entry.second > KnownTime; });
+    std::erase_if(node.lastHeard,
+                  [this](const auto &entry) { return now() - entry.second > SilentMemberTime; });
     const Duration age = now() - node.started;
     FleetMembership fleet;
-    fleet.known = node.heard.size() + 1;
+    fleet.known = node.lastHeard.size() + 1;
     const std::size_t seeds = std::min<std::size_t>(m_nodes.size(), Seeds);
     std::size_t heardSeeds = daemon < seeds ? 1 : 0;
     for (std::size_t seed = 0; seed < seeds; ++seed)
-        heardSeeds += node.heard.contains(seed) ? 1 : 0;
-    fleet.isComplete = 2 * heardSeeds <= seeds
-        ? age > LoneTime
-        : age > OldTime || (age > YoungTime && now() - node.news > QuietTime);
+        heardSeeds += node.lastHeard.contains(seed) ? 1 : 0;
+    fleet.isComplete = 2 * heardSeeds <= seeds ? age > MissingSeedsTime
+                                               : age > LongestDiscoveryAge
+            || (age > ShortestDiscoveryAge && now() - node.lastDiscovery > DiscoveryQuietTime);
     fleet.members.push_back({peerOf(daemon), 1, false});
     const auto isOlder = [&](const auto &entry) {
         return m_nodes[entry.first]->started + StartedTogether < node.started;
     };
-    if (std::ranges::none_of(node.heard, isOlder))
+    if (std::ranges::none_of(node.lastHeard, isOlder))
         fleet.startedTogether = node.started;
-    for (const auto &[other, heard] : node.heard) {
-        if (now() - heard <= network.silence)
+    for (const auto &[other, heard] : node.lastHeard) {
+        if (now() - heard <= network.silenceTimeout)
             fleet.members.push_back({peerOf(other), 1, false});
         if (!node.limits.isCandidate()
-            || random.next() % node.heard.size() >= ReachabilityEstimator::ProbesPerRound)
+            || random.next() % node.lastHeard.size() >= ReachabilityEstimator::ProbesPerRound)
             continue;
         const std::uint64_t probe = random.next();
-        node.reach.sent(probe, now());
-        const Node &mate = *m_nodes[other];
-        if (mate.isAlive && !mate.isFrozen && reaches(daemon, other) && reaches(other, daemon)
-            && chance() >= 2 * network.lost)
-            node.reach.answered(probe);
+        node.reachability.sent(probe, now());
+        const Node &peer = *m_nodes[other];
+        if (peer.isAlive && !peer.isFrozen && reaches(daemon, other) && reaches(other, daemon)
+            && uniform() >= 2 * network.lossRate)
+            node.reachability.answered(probe);
     }
-    node.limits.setReachableFraction(limitFractionOf(node.reach.reachableFraction(
-                                         node.heard.size(), node.heard.size() + 1, now())),
+    node.limits.setReachableFraction(limitFractionOf(node.reachability.reachableFraction(
+                                         node.lastHeard.size(), node.lastHeard.size() + 1, now())),
                                      now());
     node.limits.setFleet(fleet, now());
 }
@@ -221,9 +221,9 @@
             Node &node = *m_nodes[daemon];
             if (!node.isAlive || node.isFrozen)
                 continue;
-            if (now() - node.ticked >= Tick) {
-                node.ticked = now();
-                tellFleet(daemon);
+            if (now() - node.lastTick >= Tick) {
+                node.lastTick = now();
+                updateFleet(daemon);
                 node.limits.review(now());
             }
             const std::optional<Instant> next = node.limits.nextReview();
@@ -244,32 +244,32 @@
             return;
     }
     LimitCounts &counts = m_counts[customer];
-    counts.askedUnits += units;
-    ++counts.asked;
+    counts.requestedUnits += units;
+    ++counts.requested;
     if (m_nodes[at]->isFrozen)
         return;
-    // The exchange tells whose it is when its verdict comes.
+    // The exchange's number identifies the customer when the decision arrives.
     const ExchangeId exchange(++m_posted * m_customers.size() + customer);
-    const std::optional<LimitDecision> verdict
+    const std::optional<LimitDecision> decision
         = m_nodes[at]->limits.take(exchange, m_customers[customer], {units, 0}, now());
-    if (verdict)
-        decided(exchange.value(), *verdict);
+    if (decision)
+        decided(exchange.value(), *decision);
     else
         ++counts.waited;
 }
 
-void EmulatedLimits::decided(std::size_t exchange, const LimitDecision &verdict)
+void EmulatedLimits::decided(std::size_t exchange, const LimitDecision &decision)
 {
     const std::size_t customer = exchange % m_customers.size();
     LimitCounts &counts = m_counts[customer];
-    counts.longestWait = std::max(counts.longestWait, verdict.waited);
-    if (!verdict.isAdmitted) {
+    counts.longestWait = std::max(counts.longestWait, decision.waited);
+    if (!decision.isAdmitted) {
         ++counts.refused;
         return;
     }
     ++counts.admitted;
-    counts.admittedUnits += verdict.demand.units;
-    m_admitted[customer].push_back({now(), verdict.demand.units});
+    counts.admittedUnits += decision.demand.units;
+    m_admitted[customer].push_back({now(), decision.demand.units});
 }
 
 std::size_t EmulatedLimits::grantors(std::size_t customer) const
@@ -291,7 +291,8 @@
 
 double EmulatedLimits::worstRatio(std::size_t customer) const
 {
-    // Over any window at most what the whole window's rate allows; shorter ones get less of it.
+    // Any window admits at most what the rate allows over its full length; shorter intervals admit
+    // less.
     const CustomerRule &rule = m_customers[customer];
     const std::vector<Admitted> &admitted = m_admitted[customer];
     double worst = 0;
--- a/packages/dispatch/tests/apricothook_emulated_limits.hpp
+++ b/packages/dispatch/tests/apricothook_emulated_limits.hpp
@@ -13,36 +13,36 @@
 
 namespace Apricothook {
 
-/** How the emulated network treats a datagram between two daemons. */
+/** How the emulated network treats datagrams between two daemons. */
 struct LimitNetwork
 {
     Duration delay = std::chrono::milliseconds(2);
     Duration jitter = std::chrono::milliseconds(2);
-    double lost = 0;
-    double twice = 0;
-    /** The way from one daemon to another is cut. */
+    double lossRate = 0;
+    double duplicationRate = 0;
+    /** The link from one daemon to another is cut. */
     std::function<bool(std::size_t from, std::size_t to)> isCut;
-    /** After so long without a word a daemon is taken for gone. */
-    Duration silence = std::chrono::seconds(1);
+    /** Time without a message after which a daemon counts as gone. */
+    Duration silenceTimeout = std::chrono::seconds(1);
 };
 
-/** What became of a customer's requests. */
+/** Totals over a customer's requests. */
 struct LimitCounts
 {
-    double askedUnits = 0;
+    double requestedUnits = 0;
     double admittedUnits = 0;
-    std::size_t asked = 0;
+    std::size_t requested = 0;
     std::size_t admitted = 0;
     std::size_t refused = 0;
-    /** Verdicts that weren't there at once. */
+    /** Decisions that weren't returned at once. */
     std::size_t waited = 0;
     Duration longestWait {};
     std::size_t messages = 0;
 };
 
 /**
- * The limits of many daemons in virtual time, with a network that loses, delays, doubles and cuts.
- * What each believes of the others is what a test tells it.
+ * The limits of many daemons in virtual time, with a network that loses, delays, duplicates and
+ * cuts. Each daemon's knowledge of the others is emulated.
  */
 class EmulatedLimits
 {
@@ -52,20 +52,20 @@
     ~EmulatedLimits();
 
     Instant now() const { return clock.now(); }
-    /** Lets time pass in steps of a millisecond; `step` runs at each. */
+    /** Advances the time in steps of a millisecond; `step` runs at each. */
     void run(Duration time, const std::function<void()> &step = {});
-    /** A request at the daemon; a dead one's caller goes to the next. */
+    /** Sends a request to the daemon; if that one is dead, to the next. */
     void send(std::size_t daemon, std::size_t customer, double units);
     void kill(std::size_t daemon);
-    /** With an empty memory. */
+    /** Starts the daemon with empty memory. */
     void start(std::size_t daemon);
-    /** Neither gets nor does anything; its messages wait. */
+    /** A frozen daemon neither receives nor does anything; its messages wait. */
     void setFrozen(std::size_t daemon, bool frozen);
     void setCustomers(const std::vector<CustomerRule> &customers);
-    /** The daemon that grants the customer's units; the first of them. */
+    /** The first daemon that grants the customer's units. */
     std::optional<std::size_t> grantor(std::size_t customer) const;
     std::size_t grantors(std::size_t customer) const;
-    /** Largest sum over any window of the customer's admissions, against its bound. */
+    /** Largest sum of the customer's admissions over any window, relative to its limit. */
     double worstRatio(std::size_t customer) const;
     const LimitCounts &counts(std::size_t customer) const { return m_counts[customer]; }
     std::size_t size() const { return m_nodes.size(); }
@@ -96,15 +96,15 @@
 
     void post(std::size_t from, const Endpoint &to, const LimitMessage &message);
     void deliver();
-    void tellFleet(std::size_t daemon);
-    void decided(std::size_t customer, const LimitDecision &verdict);
+    void updateFleet(std::size_t daemon);
+    void decided(std::size_t customer, const LimitDecision &decision);
     bool reaches(std::size_t from, std::size_t to) const;
-    double chance();
+    double uniform();
 
     FleetBounds m_bounds;
     std::vector<CustomerRule> m_customers;
     std::vector<std::unique_ptr<Node>> m_nodes;
-    std::priority_queue<Datagram> m_way;
+    std::priority_queue<Datagram> m_inTransit;
     std::uint64_t m_posted = 0;
     std::vector<LimitCounts> m_counts;
     std::vector<std::vector<Admitted>> m_admitted;
--- a/packages/dispatch/tests/apricothook_slot_partition_tests.cpp
+++ b/packages/dispatch/tests/apricothook_slot_partition_tests.cpp
@@ -22,7 +22,7 @@
     return std::accumulate(parts.begin(), parts.end(), std::uint64_t {0});
 }
 
-/** What all cells together may use of each target. */
+/** Slots of each target that all cells together may use. */
 std::vector<std::uint32_t> usedByAll(const std::vector<PartitionedTarget> &all, CellWeights cells)
 {
     std::vector<std::uint32_t> used(all.size(), 0);
@@ -41,7 +41,7 @@
     CHECK(slotsOfCell({}, {}).empty());
 }
 
-TEST_CASE("cells divide all slots among them, each by its daemons")
+TEST_CASE("cells divide all slots in proportion to their daemons")
 {
     const auto all = targets(90, 8);
     const CellWeights cells {{8, 4, 12, 8}, 2};
@@ -50,10 +50,10 @@
     CHECK(sum(slotsOfCell(all, {{8, 0, 24}, 1})) <= SmallestRun);
 }
 
-TEST_CASE("one target more or less moves only the ends of the runs")
+TEST_CASE("an additional target moves only the ends of the runs")
 {
-    // Daemons hear of a new target at different times. Until then they differ about it; if all
-    // parts moved at once, every target would get too much work from one cell or another.
+    // Daemons learn of a new target at different times and disagree on it until then. If all parts
+    // moved at once, every target would get too much work from one cell or another.
     auto all = targets(90, 8);
     const CellWeights cells {{8, 8, 8, 8, 8, 8, 8, 8}, 3};
     const std::vector<std::uint32_t> before = slotsOfCell(all, cells);
@@ -65,16 +65,16 @@
     CHECK(moved <= 16);
 }
 
-TEST_CASE("a service with few targets is served through several of them by each cell")
+TEST_CASE("each cell uses several targets of a service with few targets")
 {
-    // With one target to a cell, its crash would leave the cell's callers without an answer while
-    // the others are idle.
+    // With one target per cell, its crash would leave the cell's callers without an answer while
+    // other targets are idle.
     const auto all = targets(4, 6);
     const std::vector<std::uint32_t> parts = slotsOfCell(all, {{8, 8, 8, 8, 8, 8, 8, 8}, 5});
     CHECK(parts == std::vector<std::uint32_t> {2, 2, 2, 2});
 }
 
-TEST_CASE("a daemon that knows no live cell uses all")
+TEST_CASE("a daemon that knows no live cell uses all slots")
 {
     CHECK(slotsOfCell(targets(2, 6), {{0, 0}, 1}) == std::vector<std::uint32_t> {6, 6});
 }
--- a/packages/suspects/apricothook/suspects/apricothook_answered_requests.cpp
+++ b/packages/suspects/apricothook/suspects/apricothook_answered_requests.cpp
@@ -6,16 +6,16 @@
 
 void AnsweredRequests::add(Fingerprint request, Instant now)
 {
-    if (now - m_begun >= Memory || m_latest.size() >= MostRemembered) {
-        m_before = std::exchange(m_latest, {});
-        m_begun = now;
+    if (now - m_currentSince >= RetentionTime || m_current.size() >= GenerationCapacity) {
+        m_previous = std::exchange(m_current, {});
+        m_currentSince = now;
     }
-    m_latest.insert(request);
+    m_current.insert(request);
 }
 
 bool AnsweredRequests::contains(Fingerprint request) const
 {
-    return m_latest.contains(request) || m_before.contains(request);
+    return m_current.contains(request) || m_previous.contains(request);
 }
 
 } // namespace Apricothook
--- a/packages/suspects/apricothook/suspects/apricothook_answered_requests.hpp
+++ b/packages/suspects/apricothook/suspects/apricothook_answered_requests.hpp
@@ -7,22 +7,24 @@
 
 namespace Apricothook {
 
-/** Fingerprints of requests that were answered lately; holds a bounded number of them. */
+/** Fingerprints of recently answered requests, in bounded number. */
 class AnsweredRequests
 {
 public:
-    /** An answer is remembered for so long at least, and twice as long at most. */
-    static constexpr std::chrono::seconds Memory {30};
-    /** Of one half of the memory; a busy daemon answers fewer. */
-    static constexpr std::size_t MostRemembered = 8192;
+    /** An answer is remembered for at least this time, and at most twice as long. */
+    static constexpr std::chrono::seconds RetentionTime {30};
+    /**
+     * Capacity of each of the two generations; a busy daemon answers fewer requests in that time.
+     */
+    static constexpr std::size_t GenerationCapacity = 8192;
 
     void add(Fingerprint request, Instant now);
     bool contains(Fingerprint request) const;
 
 private:
-    std::unordered_set<Fingerprint> m_latest;
-    std::unordered_set<Fingerprint> m_before;
-    Instant m_begun {};
+    std::unordered_set<Fingerprint> m_current;
+    std::unordered_set<Fingerprint> m_previous;
+    Instant m_currentSince {};
 };
 
 } // namespace Apricothook
--- a/packages/suspects/apricothook/suspects/apricothook_suspect_list.cpp
+++ b/packages/suspects/apricothook/suspects/apricothook_suspect_list.cpp
@@ -22,91 +22,92 @@
 
 void SuspectList::recordCrash(const TargetCrash &crash, Instant now, Outbox &out)
 {
-    forgetOld(now);
+    dropExpired(now);
     for (const Fingerprint fingerprint : crash.running)
-        learn(fingerprint, crash.target, now);
-    judge({crash.target}, now);
+        addCrash(fingerprint, crash.target, now);
+    reevaluate({crash.target}, now);
     for (const Fingerprint fingerprint : crash.running) {
-        // One that has crashed more targets than are remembered isn't listed at this one.
+        // A request that crashed more targets than are remembered isn't listed for this one.
         const auto found = m_suspects.find(fingerprint);
         if (found != m_suspects.end() && !contains(found->second.crashed, crash.target))
-            judgeOne(fingerprint, found->second, now);
+            reevaluateOne(fingerprint, found->second, now);
     }
     for (const Fingerprint fingerprint : crash.running)
-        spread(fingerprint, now, out);
+        sendNotice(fingerprint, now, out);
 }
 
-bool SuspectList::learn(Fingerprint fingerprint, const TargetId &target, Instant now)
+bool SuspectList::addCrash(Fingerprint fingerprint, const TargetId &target, Instant now)
 {
     if (!m_suspects.contains(fingerprint) && m_suspects.size() >= m_limits.suspects)
-        makeRoom();
+        evictOne();
     Suspect &suspect = m_suspects[fingerprint];
     suspect.lastCrash = now;
     if (contains(suspect.crashed, target) || suspect.crashed.size() >= m_limits.targets)
         return false;
     suspect.crashed.push_back(target);
-    m_byTarget[target].push_back(fingerprint);
+    m_suspectsByTarget[target].push_back(fingerprint);
     record(SuspectsEvent::SuspectNoted, fingerprint, " target=" + target.text());
     return true;
 }
 
-bool SuspectList::sharesBoth(Fingerprint fingerprint, const TargetId &first,
-                             const TargetId &second) const
+bool SuspectList::isOtherSuspectAtBoth(Fingerprint fingerprint, const TargetId &first,
+                                       const TargetId &second) const
 {
-    const std::vector<Fingerprint> &candidates = m_byTarget.at(first);
+    const std::vector<Fingerprint> &candidates = m_suspectsByTarget.at(first);
     return std::any_of(candidates.begin(), candidates.end(), [&](Fingerprint other) {
         return other != fingerprint && contains(m_suspects.at(other).crashed, second);
     });
 }
 
-bool SuspectList::explainsAlone(Fingerprint fingerprint, const Suspect &suspect) const
+bool SuspectList::isOnlyExplanation(Fingerprint fingerprint, const Suspect &suspect) const
 {
     for (std::size_t i = 0; i < suspect.crashed.size(); ++i) {
         for (std::size_t j = i + 1; j < suspect.crashed.size(); ++j) {
-            if (!sharesBoth(fingerprint, suspect.crashed[i], suspect.crashed[j]))
+            if (!isOtherSuspectAtBoth(fingerprint, suspect.crashed[i], suspect.crashed[j]))
                 return true;
         }
     }
     return false;
 }
 
-void SuspectList::judge(const std::vector<TargetId> &targets, Instant now)
+void SuspectList::reevaluate(const std::vector<TargetId> &targets, Instant now)
 {
     for (const TargetId &target : targets) {
-        const auto found = m_byTarget.find(target);
-        if (found == m_byTarget.end())
+        const auto found = m_suspectsByTarget.find(target);
+        if (found == m_suspectsByTarget.end())
             continue;
         for (const Fingerprint fingerprint : found->second)
-            judgeOne(fingerprint, m_suspects[fingerprint], now);
+            reevaluateOne(fingerprint, m_suspects[fingerprint], now);
     }
 }
 
-void SuspectList::judgeOne(Fingerprint fingerprint, Suspect &suspect, Instant now)
+void SuspectList::reevaluateOne(Fingerprint fingerprint, Suspect &suspect, Instant now)
 {
-    // A target's VM that dies alone loses many requests, each at one crash; they are sent again. If
-    // one crash were enough, or a second that several explain, innocent work would be refused.
-    if (!explainsAlone(fingerprint, suspect)) {
-        suspect.until.reset();
+    // If a VM dies on its own, each of its many requests has seen one crash and is sent again.
+    // Quarantine after one crash, or after a second one that several requests explain, would refuse
+    // innocent requests.
+    if (!isOnlyExplanation(fingerprint, suspect)) {
+        suspect.quarantinedUntil.reset();
         return;
     }
-    // Each daemon gives out a trial of its own. If news of a failed one didn't renew the quarantine
-    // elsewhere, every entry's trial would cost a target.
-    const bool isItsCrash = suspect.lastCrash == now;
-    if (suspect.until && !isItsCrash)
+    // Each daemon allows a trial of its own. If the notice of a failed trial didn't renew the
+    // quarantine at the others, the trial of every entry daemon would cost a target.
+    const bool isOwnCrash = suspect.lastCrash == now;
+    if (suspect.quarantinedUntil && !isOwnCrash)
         return;
     suspect.trialUntil.reset();
-    suspect.until = now + m_limits.quarantine;
+    suspect.quarantinedUntil = now + m_limits.quarantine;
     record(SuspectsEvent::SuspectQuarantined, fingerprint, "");
 }
 
 SuspectVerdict SuspectList::check(Fingerprint fingerprint, Instant now)
 {
     const auto found = m_suspects.find(fingerprint);
-    if (found == m_suspects.end() || !found->second.until
+    if (found == m_suspects.end() || !found->second.quarantinedUntil
         || found->second.lastCrash + m_limits.memory <= now)
         return SuspectVerdict::Clear;
     Suspect &suspect = found->second;
-    if (now < *suspect.until || (suspect.trialUntil && now < *suspect.trialUntil))
+    if (now < *suspect.quarantinedUntil || (suspect.trialUntil && now < *suspect.trialUntil))
         return SuspectVerdict::Quarantined;
     suspect.trialUntil = now + m_limits.trial;
     return SuspectVerdict::Trial;
@@ -115,9 +116,10 @@
 Duration SuspectList::quarantineLeft(Fingerprint fingerprint, Instant now) const
 {
     const auto found = m_suspects.find(fingerprint);
-    if (found == m_suspects.end() || !found->second.until)
+    if (found == m_suspects.end() || !found->second.quarantinedUntil)
         return Duration::zero();
-    const Instant end = std::max(*found->second.until, found->second.trialUntil.value_or(now));
+    const Instant end
+        = std::max(*found->second.quarantinedUntil, found->second.trialUntil.value_or(now));
     return std::max(Duration::zero(), end - now);
 }
 
@@ -134,38 +136,39 @@
         return;
     record(SuspectsEvent::SuspectCleared, fingerprint, "");
     const std::vector<TargetId> crashed = found->second.crashed;
-    forget(fingerprint);
-    // Who shared these crashes with it may now be the only one that explains them.
-    judge(crashed, now);
+    remove(fingerprint);
+    // A request that shared these crashes may now be the only one that explains them.
+    reevaluate(crashed, now);
 }
 
 void SuspectList::handle(const MemberId &, const SuspectNotice &notice, Instant now, Outbox &out)
 {
-    forgetOld(now);
-    bool isNews = false;
+    dropExpired(now);
+    bool isNew = false;
     for (const TargetId &target : notice.crashed)
-        isNews = learn(notice.fingerprint, target, now) || isNews;
-    // Only news is passed on, so that a notice dies out once all have heard it.
-    if (!isNews)
+        isNew = addCrash(notice.fingerprint, target, now) || isNew;
+    // Only new information is forwarded, so that a notice dies out once all members have it.
+    if (!isNew)
         return;
-    judge(notice.crashed, now);
-    spread(notice.fingerprint, now, out);
+    reevaluate(notice.crashed, now);
+    sendNotice(notice.fingerprint, now, out);
 }
 
-void SuspectList::spread(Fingerprint fingerprint, Instant now, Outbox &out)
+void SuspectList::sendNotice(Fingerprint fingerprint, Instant now, Outbox &out)
 {
     const auto found = m_suspects.find(fingerprint);
     const std::vector<MemberUpdate> &live = m_members.live();
     if (found == m_suspects.end() || live.size() < 2)
         return;
-    const SuspectNotice notice {fingerprint, found->second.crashed, found->second.until.has_value(),
+    const SuspectNotice notice {fingerprint, found->second.crashed,
+                                found->second.quarantinedUntil.has_value(),
                                 quarantineLeft(fingerprint, now)};
     const std::size_t count = std::min(m_limits.fanOut, live.size() - 1);
-    std::size_t place = m_random.next() % live.size();
+    std::size_t position = m_random.next() % live.size();
     const std::size_t stride = std::max<std::size_t>(1, live.size() / (count + 1));
     std::size_t sent = 0;
-    for (std::size_t step = 0; step < live.size() && sent < count; ++step, place += stride) {
-        const MemberId &member = live[place % live.size()].instance.member;
+    for (std::size_t step = 0; step < live.size() && sent < count; ++step, position += stride) {
+        const MemberId &member = live[position % live.size()].instance.member;
         if (member == m_members.self().member)
             continue;
         out.push_back({member, notice});
@@ -173,43 +176,44 @@
     }
 }
 
-void SuspectList::forgetOld(Instant now)
+void SuspectList::dropExpired(Instant now)
 {
-    std::vector<Fingerprint> old;
+    std::vector<Fingerprint> expired;
     for (const auto &[fingerprint, suspect] : m_suspects) {
         if (suspect.lastCrash + m_limits.memory <= now)
-            old.push_back(fingerprint);
+            expired.push_back(fingerprint);
     }
-    for (const Fingerprint fingerprint : old)
-        forget(fingerprint);
+    for (const Fingerprint fingerprint : expired)
+        remove(fingerprint);
 }
 
-void SuspectList::makeRoom()
+void SuspectList::evictOne()
 {
     const auto oldest = std::min_element(
         m_suspects.begin(), m_suspects.end(), [](const auto &left, const auto &right) {
-            // A quarantine outlasts any number of first crashes.
-            return std::pair(left.second.until.has_value(), left.second.lastCrash)
-                < std::pair(right.second.until.has_value(), right.second.lastCrash);
+            // Quarantined requests are kept, whatever the number of requests with a first crash.
+            return std::pair(left.second.quarantinedUntil.has_value(), left.second.lastCrash)
+                < std::pair(right.second.quarantinedUntil.has_value(), right.second.lastCrash);
         });
-    forget(oldest->first);
+    remove(oldest->first);
 }
 
-void SuspectList::forget(Fingerprint fingerprint)
+void SuspectList::remove(Fingerprint fingerprint)
 {
     for (const TargetId &target : m_suspects[fingerprint].crashed) {
-        std::vector<Fingerprint> &there = m_byTarget[target];
-        std::erase(there, fingerprint);
-        if (there.empty())
-            m_byTarget.erase(target);
+        std::vector<Fingerprint> &suspectsAtTarget = m_suspectsByTarget[target];
+        std::erase(suspectsAtTarget, fingerprint);
+        if (suspectsAtTarget.empty())
+            m_suspectsByTarget.erase(target);
     }
     m_suspects.erase(fingerprint);
 }
 
-void SuspectList::record(SuspectsEvent event, Fingerprint fingerprint, const std::string &more)
+void SuspectList::record(SuspectsEvent event, Fingerprint fingerprint, const std::string &details)
 {
-    m_events.record(
-        {static_cast<int>(event), {}, "fingerprint=" + std::to_string(fingerprint.value()) + more});
+    m_events.record({static_cast<int>(event),
+                     {},
+                     "fingerprint=" + std::to_string(fingerprint.value()) + details});
 }
 
 } // namespace Apricothook
--- a/packages/suspects/tests/apricothook_answered_requests_tests.cpp
+++ b/packages/suspects/tests/apricothook_answered_requests_tests.cpp
@@ -6,15 +6,15 @@
 
 using namespace Apricothook;
 
-TEST_CASE("an answered request is remembered for a while, and not for good")
+TEST_CASE("an answered request is remembered for a limited time")
 {
     ManualClock clock;
     AnsweredRequests answered;
     answered.add(Fingerprint(1), clock.now());
-    clock.advance(AnsweredRequests::Memory);
+    clock.advance(AnsweredRequests::RetentionTime);
     answered.add(Fingerprint(2), clock.now());
     CHECK(answered.contains(Fingerprint(1)));
-    clock.advance(AnsweredRequests::Memory);
+    clock.advance(AnsweredRequests::RetentionTime);
     answered.add(Fingerprint(3), clock.now());
     CHECK_FALSE(answered.contains(Fingerprint(1)));
     CHECK(answered.contains(Fingerprint(2)));
@@ -24,8 +24,8 @@
 {
     ManualClock clock;
     AnsweredRequests answered;
-    for (std::uint64_t number = 1; number <= 3 * AnsweredRequests::MostRemembered; ++number)
+    for (std::uint64_t number = 1; number <= 3 * AnsweredRequests::GenerationCapacity; ++number)
         answered.add(Fingerprint(number), clock.now());
     CHECK_FALSE(answered.contains(Fingerprint(1)));
-    CHECK(answered.contains(Fingerprint(3 * AnsweredRequests::MostRemembered)));
+    CHECK(answered.contains(Fingerprint(3 * AnsweredRequests::GenerationCapacity)));
 }
--- a/packages/suspects/tests/apricothook_suspect_list_tests.cpp
+++ b/packages/suspects/tests/apricothook_suspect_list_tests.cpp
@@ -38,11 +38,11 @@
 
 TEST_SUITE("[homes][suspects]")
 {
-    TEST_CASE(
-        "A request that alone was at crashes of two targets is refused; its neighbours are not")
+    TEST_CASE("A request that alone was running at two targets' crashes is refused; others are not")
     {
-        // A request crashes its target, its caller sends it again, and it crashes the next one.
-        // Each time other requests die with it. Without quarantine it would go through all targets.
+        // A request crashes its target, is sent again by its caller and crashes the next target,
+        // each time together with other running requests. Without quarantine it would go through
+        // all targets.
         Fixture f;
         f.crash("t1", {Innocent, Poison});
         CHECK_FALSE(f.isRefused(Poison));
@@ -54,7 +54,7 @@
         CHECK(f.list.quarantineLeft(Poison, at(60)) == std::chrono::minutes(9));
     }
 
-    TEST_CASE("Targets whose VMs fail quarantine nobody")
+    TEST_CASE("Targets whose VMs fail cause no quarantine")
     {
         // A VM dies with all its requests. They are sent again to a second target, whose VM dies
         // too, as when a rack is lost. No request stands out, so none may be refused.
@@ -71,7 +71,7 @@
             CHECK(f.isRefused(Poison));
             CHECK_FALSE(f.isRefused(Innocent));
         }
-        SUBCASE("so do answers to the others")
+        SUBCASE("answers to the others tell them apart")
         {
             f.list.recordAnswer(Innocent, at(1));
             CHECK_FALSE(f.isRefused(Poison));
@@ -88,7 +88,7 @@
         CHECK_FALSE(f.isRefused(Innocent));
     }
 
-    TEST_CASE("News from another entry shows that a request did not explain both crashes alone")
+    TEST_CASE("A notice from another entry shows that a request did not explain both crashes alone")
     {
         Fixture f;
         f.crash("t1", {Innocent});
@@ -99,7 +99,7 @@
         CHECK_FALSE(f.isRefused(Innocent));
     }
 
-    TEST_CASE("After the quarantine one attempt is let through, and its end decides")
+    TEST_CASE("After the quarantine one attempt is allowed, and its outcome decides")
     {
         Fixture f;
         f.crash("t1", {Poison});
@@ -124,37 +124,37 @@
             CHECK(f.list.excludedTargets(Poison).size() == f.limits.targets);
             CHECK(f.isRefused(Poison, 611 + static_cast<double>(f.limits.targets) + 599));
         }
-        SUBCASE("news of a crash at another entry's trial: refused again")
+        SUBCASE("a notice of a crash in another entry's trial: refused again")
         {
             const SuspectNotice notice {Poison, {TargetId("t3")}, true, {}};
             f.list.handle(MemberId("b"), notice, at(610), f.out);
             CHECK(f.isRefused(Poison, 1209));
         }
-        SUBCASE("another's crash on the same targets: nothing changes")
+        SUBCASE("another request's crash on the same target: nothing changes")
         {
             f.crash("t1", {Innocent}, 700);
             CHECK(f.list.check(Poison, at(720)) == SuspectVerdict::Trial);
         }
-        SUBCASE("an answer: free")
+        SUBCASE("an answer: not refused any more")
         {
             f.list.recordAnswer(Poison, at(610));
             CHECK(f.list.check(Poison, at(611)) == SuspectVerdict::Clear);
         }
-        SUBCASE("nothing: one more trial")
+        SUBCASE("no outcome: one more trial")
         {
             CHECK(f.list.check(Poison, at(720)) == SuspectVerdict::Trial);
         }
     }
 
-    TEST_CASE("News goes to a few others, is passed on once, and dies out")
+    TEST_CASE("A notice goes to a few members, is forwarded once and dies out")
     {
         Fixture f;
         f.crash("t1", {Poison});
-        std::set<MemberId> told;
+        std::set<MemberId> recipients;
         for (const OutgoingMessage &outgoing : f.out)
-            told.insert(outgoing.to);
-        CHECK(told.size() == f.limits.fanOut);
-        CHECK_FALSE(told.contains(MemberId("a")));
+            recipients.insert(outgoing.to);
+        CHECK(recipients.size() == f.limits.fanOut);
+        CHECK_FALSE(recipients.contains(MemberId("a")));
         Outbox out;
         f.list.handle(MemberId("b"), {Poison, {TargetId("t1")}, false, {}}, at(1), out);
         CHECK(out.empty());
@@ -164,7 +164,7 @@
         CHECK(f.isRefused(Poison, 1));
     }
 
-    TEST_CASE("The list is bounded, keeps who is quarantined, and forgets")
+    TEST_CASE("The list is bounded, keeps quarantined requests and forgets old ones")
     {
         Fixture f;
         f.crash("t1", {Poison});
