--- a/packages/serving/apricothook/serving/apricothook_cell_exchange.cpp
+++ b/packages/serving/apricothook/serving/apricothook_cell_exchange.cpp
@@ -16,13 +16,13 @@
     return loads;
 }
 
-std::vector<QueueLength> waitingOf(const CellLoadReport &report)
+std::vector<QueueLength> queueLengthsOf(const CellLoadReport &report)
 {
-    std::vector<QueueLength> counts;
+    std::vector<QueueLength> lengths;
     for (const ReportedWaiting &waiting : report.waiting)
-        counts.push_back(
+        lengths.push_back(
             {waiting.service, {waiting.customerTier, waiting.routeTier}, waiting.waiting});
-    return counts;
+    return lengths;
 }
 
 } // namespace
@@ -34,27 +34,27 @@
     , m_sender(sender)
     , m_gateway(gateway)
     , m_log(log)
-    , m_mates(sender.ownBrief().member)
+    , m_peers(sender.ownInfo().member)
 {
 }
 
 CellExchange::~CellExchange()
 {
-    m_loop.cancel(m_change);
+    m_loop.cancel(m_reportTimer);
 }
 
 void CellExchange::tick()
 {
-    for (const MemberId &silent : m_mates.markSilent(m_loop.now()))
-        forget(silent);
-    sendBeacon();
+    for (const MemberId &silent : m_peers.markSilent(m_loop.now()))
+        clearLoad(silent);
+    sendHeartbeat();
 }
 
-void CellExchange::noteChange()
+void CellExchange::scheduleReport()
 {
-    if (std::exchange(m_changed, true))
+    if (std::exchange(m_reportPending, true))
         return;
-    m_change = m_loop.after(ChangePause, [this] { sendReport(); });
+    m_reportTimer = m_loop.after(ReportDelay, [this] { sendReport(); });
 }
 
 std::vector<Endpoint> CellExchange::addresses() const
@@ -65,23 +65,22 @@
     return addresses;
 }
 
-void CellExchange::sendBeacon()
+void CellExchange::sendHeartbeat()
 {
-    m_loop.cancel(m_change);
-    m_changed = false;
-    m_sender.send(addresses(),
-                  Heartbeat {m_sender.ownBrief(), m_sender.ownRevision(), ownReport()});
+    m_loop.cancel(m_reportTimer);
+    m_reportPending = false;
+    m_sender.send(addresses(), Heartbeat {m_sender.ownInfo(), m_sender.ownRevision(), ownReport()});
 }
 
 void CellExchange::sendReport()
 {
-    m_changed = false;
+    m_reportPending = false;
     m_sender.send(addresses(), ownReport());
 }
 
 CellLoadReport CellExchange::ownReport()
 {
-    const MemberInfo self = m_sender.ownBrief();
+    const MemberInfo self = m_sender.ownInfo();
     CellLoadReport report {
         .member = memberHash(self.member),
         .process = self.process,
@@ -91,45 +90,45 @@
     };
     for (const TargetLoad &load : m_gateway.targets().ownLoad())
         report.loads.push_back({load.target, load.running});
-    for (const QueueLength &count : m_gateway.dispatcher().ownQueueLengths())
+    for (const QueueLength &length : m_gateway.dispatcher().ownQueueLengths())
         report.waiting.push_back(
-            {count.service, count.rank.customer, count.rank.route, count.waiting});
+            {length.service, length.rank.customer, length.rank.route, length.waiting});
     return report;
 }
 
-void CellExchange::take(const Heartbeat &beacon)
+void CellExchange::take(const Heartbeat &heartbeat)
 {
-    const HeartbeatChange effect = m_mates.apply(beacon, m_loop.now());
-    if (effect.hasReturned || effect.isNewProcess) {
+    const HeartbeatChange change = m_peers.apply(heartbeat, m_loop.now());
+    if (change.hasReturned || change.isNewProcess) {
         m_log.write(LogEvent(FleetviewEvent::MemberHeard)
-                        .with("member", beacon.sender.member.text())
-                        .with("process", beacon.sender.process.value()));
+                        .with("member", heartbeat.sender.member.text())
+                        .with("process", heartbeat.sender.process.value()));
     }
-    apply(memberHash(beacon.sender.member), effect);
+    apply(memberHash(heartbeat.sender.member), change);
 }
 
 void CellExchange::take(const CellLoadReport &report)
 {
-    apply(report.member, m_mates.apply(report, m_loop.now()));
+    apply(report.member, m_peers.apply(report, m_loop.now()));
 }
 
-void CellExchange::apply(std::uint64_t member, const HeartbeatChange &effect)
+void CellExchange::apply(std::uint64_t member, const HeartbeatChange &change)
 {
-    const CellPeer *mate = effect.isNewer ? m_mates.find(member) : nullptr;
-    if (!mate)
+    const CellPeer *peer = change.isNewer ? m_peers.find(member) : nullptr;
+    if (!peer)
         return;
-    m_gateway.targets().setMemberLoad(member, loadsOf(mate->report));
-    m_gateway.dispatcher().setMemberQueueLengths(member, waitingOf(mate->report));
+    m_gateway.targets().setMemberLoad(member, loadsOf(peer->report));
+    m_gateway.dispatcher().setMemberQueueLengths(member, queueLengthsOf(peer->report));
     if (m_gateway.dispatcher().waiting() > 0)
         m_gateway.scheduleReview();
 }
 
-void CellExchange::forget(const MemberId &member)
+void CellExchange::clearLoad(const MemberId &member)
 {
-    const CellPeer *mate = m_mates.find(member);
+    const CellPeer *peer = m_peers.find(member);
     m_log.write(LogEvent(FleetviewEvent::MemberSilent)
                     .with("member", member.text())
-                    .with("leaving", mate && mate->info.isLeaving));
+                    .with("leaving", peer && peer->info.isLeaving));
     m_gateway.targets().setMemberLoad(memberHash(member), {});
     m_gateway.dispatcher().setMemberQueueLengths(memberHash(member), {});
 }
--- a/packages/serving/apricothook/serving/apricothook_cell_exchange.hpp
+++ b/packages/serving/apricothook/serving/apricothook_cell_exchange.hpp
@@ -8,16 +8,17 @@
 namespace Apricothook {
 
 /**
- * Tells the own cell what this daemon does, and takes what its members do into the decisions.
+ * Exchanges state with the other members of the own cell.
  *
- * The whole state goes out at rest pace; between that only what changes often, soon after it has
- * changed.
+ * Sends heartbeats with the whole state of this daemon at a fixed interval, and load reports
+ * shortly after a change. Applies the load and the waiting requests of the other members at the
+ * gateway.
  */
 class CellExchange
 {
 public:
-    /** Changes gather for so long; others learn of a taken slot that much later. */
-    static constexpr std::chrono::milliseconds ChangePause {25};
+    /** Batches changes into one report; delays by as much the notice that a slot is in use. */
+    static constexpr std::chrono::milliseconds ReportDelay {25};
 
     CellExchange(EventLoop &loop, const FleetDirectory &directory, PeerSender &sender,
                  Gateway &gateway, LogWriter &log);
@@ -25,30 +26,30 @@
     CellExchange(const CellExchange &) = delete;
     CellExchange &operator=(const CellExchange &) = delete;
 
-    /** Tells all, and forgets the load of members that have fallen silent. */
+    /** Sends a heartbeat, and clears the load of members whose heartbeats have stopped. */
     void tick();
-    /** The next report goes soon. */
-    void noteChange();
-    void sendBeacon();
-    void take(const Heartbeat &beacon);
+    /** Sends a report within ReportDelay. */
+    void scheduleReport();
+    void sendHeartbeat();
+    void take(const Heartbeat &heartbeat);
     void take(const CellLoadReport &report);
 
 private:
     void sendReport();
     CellLoadReport ownReport();
     std::vector<Endpoint> addresses() const;
-    void apply(std::uint64_t member, const HeartbeatChange &effect);
-    void forget(const MemberId &member);
+    void apply(std::uint64_t member, const HeartbeatChange &change);
+    void clearLoad(const MemberId &member);
 
     EventLoop &m_loop;
     const FleetDirectory &m_directory;
     PeerSender &m_sender;
     Gateway &m_gateway;
     LogWriter &m_log;
-    HeartbeatTable m_mates;
+    HeartbeatTable m_peers;
     std::uint64_t m_sequence = 0;
-    bool m_changed = false;
-    TimerId m_change = 0;
+    bool m_reportPending = false;
+    TimerId m_reportTimer = 0;
 };
 
 } // namespace Apricothook
--- a/packages/serving/apricothook/serving/apricothook_fleet_exchange.cpp
+++ b/packages/serving/apricothook/serving/apricothook_fleet_exchange.cpp
@@ -12,31 +12,32 @@
     , m_sender(sender)
     , m_random(random)
     , m_seeds(std::move(seeds))
-    , m_round(random.next())
+    , m_roundRobinIndex(random.next())
 {
 }
 
 FleetExchange::~FleetExchange()
 {
-    m_loop.cancel(m_greeting);
+    m_loop.cancel(m_gossipTimer);
 }
 
 void FleetExchange::start()
 {
     m_started = m_loop.now();
-    greet();
+    gossip();
 }
 
-void FleetExchange::greet()
+void FleetExchange::gossip()
 {
-    sendGreetings(greeted(), true, isStarting());
-    const Duration pause = isStarting() ? Duration(StartingPause) : Duration(GreetingPause);
-    m_greeting = m_loop.after(pause, [this] { greet(); });
+    sendGossip(gossipReceivers(), true, isStarting());
+    const Duration interval
+        = isStarting() ? Duration(StartupGossipInterval) : Duration(GossipInterval);
+    m_gossipTimer = m_loop.after(interval, [this] { gossip(); });
 }
 
-std::vector<Endpoint> FleetExchange::greeted()
+std::vector<Endpoint> FleetExchange::gossipReceivers()
 {
-    // Which seeds live isn't known, and nothing can be done without one.
+    // Without known members, a daemon can join only through a seed, and any seed may be down.
     if (m_directory.members().empty())
         return m_seeds;
     const auto &members = m_directory.members();
@@ -48,29 +49,29 @@
     return {member->second.info.beaconAddress};
 }
 
-void FleetExchange::sendGreetings(const std::vector<Endpoint> &to, bool wantsAnswer, bool all)
+void FleetExchange::sendGossip(const std::vector<Endpoint> &to, bool wantsReply, bool all)
 {
-    const std::size_t names = all ? m_directory.members().size() : MostOthers;
-    const std::vector<MemberInfo> told = m_directory.sample(names, m_random, m_loop.now());
+    const std::size_t count = all ? m_directory.members().size() : MaximumGossipMembers;
+    const std::vector<MemberInfo> members = m_directory.sample(count, m_random, m_loop.now());
     std::size_t next = 0;
     do {
-        const std::size_t end = std::min(next + MostOthers, told.size());
-        MemberGossip greeting {m_sender.ownBrief(), wantsAnswer && next == 0, all, {}};
-        greeting.others.assign(told.begin() + static_cast<std::ptrdiff_t>(next),
-                               told.begin() + static_cast<std::ptrdiff_t>(end));
-        m_sender.send(to, greeting);
+        const std::size_t end = std::min(next + MaximumGossipMembers, members.size());
+        MemberGossip gossip {m_sender.ownInfo(), wantsReply && next == 0, all, {}};
+        gossip.others.assign(members.begin() + static_cast<std::ptrdiff_t>(next),
+                             members.begin() + static_cast<std::ptrdiff_t>(end));
+        m_sender.send(to, gossip);
         next = end;
-    } while (next < told.size());
+    } while (next < members.size());
 }
 
-void FleetExchange::take(const MemberGossip &greeting)
+void FleetExchange::take(const MemberGossip &gossip)
 {
     const Instant now = m_loop.now();
-    m_directory.update(greeting.sender, now);
-    for (const MemberInfo &other : greeting.others)
+    m_directory.update(gossip.sender, now);
+    for (const MemberInfo &other : gossip.others)
         m_directory.update(other, now);
-    if (greeting.wantsReply)
-        sendGreetings({greeting.sender.beaconAddress}, false, greeting.wantsFullList);
+    if (gossip.wantsReply)
+        sendGossip({gossip.sender.beaconAddress}, false, gossip.wantsFullList);
 }
 
 void FleetExchange::announce()
@@ -78,32 +79,32 @@
     std::vector<Endpoint> all;
     for (const auto &[id, member] : m_directory.members())
         all.push_back(member.info.beaconAddress);
-    m_sender.send(all, MemberGossip {m_sender.ownBrief(), false, false, {}});
+    m_sender.send(all, MemberGossip {m_sender.ownInfo(), false, false, {}});
 }
 
 void FleetExchange::sendSummaries()
 {
     const Instant now = m_loop.now();
-    if (m_directory.cells() == 1 || now - m_summarySent < m_directory.summaryPause())
+    if (m_directory.cells() == 1 || now - m_lastSummary < m_directory.summaryPause())
         return;
-    m_summarySent = now;
-    ++m_round;
+    m_lastSummary = now;
+    ++m_roundRobinIndex;
     std::vector<Endpoint> receivers;
     for (std::uint32_t cell = 0; cell < m_directory.cells(); ++cell) {
-        const KnownMember *next = cell == m_directory.ownCell() ? nullptr : nextOf(cell);
+        const KnownMember *next = cell == m_directory.ownCell() ? nullptr : nextReceiver(cell);
         if (next)
             receivers.push_back(next->info.beaconAddress);
     }
     m_sender.send(receivers, ownSummary());
 }
 
-const KnownMember *FleetExchange::nextOf(std::uint32_t cell) const
+const KnownMember *FleetExchange::nextReceiver(std::uint32_t cell) const
 {
     std::vector<const KnownMember *> members = m_directory.membersOfCell(cell);
     std::erase_if(members, [this](const KnownMember *member) {
         return m_loop.now() - member->heard > FleetDirectory::KnownLimit;
     });
-    return members.empty() ? nullptr : members[m_round % members.size()];
+    return members.empty() ? nullptr : members[m_roundRobinIndex % members.size()];
 }
 
 CellSummary FleetExchange::ownSummary()
@@ -113,7 +114,7 @@
         .cell = m_directory.ownCell(),
         .cells = m_directory.cells(),
         .revision = m_sender.ownRevision(),
-        .members = {m_sender.ownBrief()},
+        .members = {m_sender.ownInfo()},
     };
     for (const KnownMember *member : m_directory.membersOfCell(summary.cell)) {
         if (m_directory.isLive(*member, now))
--- a/packages/serving/apricothook/serving/apricothook_fleet_exchange.hpp
+++ b/packages/serving/apricothook/serving/apricothook_fleet_exchange.hpp
@@ -11,24 +11,25 @@
 /**
  * Keeps the directory of the whole fleet up to date.
  *
- * Greetings spread the members' names; a new daemon greets its seeds, and all greet somebody each
- * second, so that groups that lost each other come together again. Summaries tell each cell of
- * every other one.
+ * Members are discovered by gossip. A new daemon sends gossip to its seeds, and each daemon sends
+ * it to a random member or seed once a second, which rejoins the parts of a fleet after a
+ * partition. Summaries carry the members of each cell to every other cell.
  */
 class FleetExchange
 {
 public:
     /**
-     * Between greetings of a daemon that has just started. Each exchanges all names with one other
-     * daemon, so what is known doubles with each: after all were killed 300 daemons know each
-     * other within a second. At sixteen names each quarter of one some were unknown after thirty.
+     * Gossip interval after the start of a daemon. Each gossip exchanges all known members with
+     * another daemon, so the number of known members doubles: 300 daemons that restart together
+     * know each other within a second. With sixteen members per message every 250 ms, some were
+     * still unknown after thirty seconds.
      */
-    static constexpr std::chrono::milliseconds StartingPause {100};
-    /** Ten exchanges and the time that VMs differ by when they start together. */
-    static constexpr std::chrono::seconds StartingTime {2};
-    static constexpr std::chrono::seconds GreetingPause {1};
-    /** Members in a greeting, which fits into one Ethernet frame. */
-    static constexpr std::size_t MostOthers = 16;
+    static constexpr std::chrono::milliseconds StartupGossipInterval {100};
+    /** Time for ten exchanges, plus the differences between VMs that start together. */
+    static constexpr std::chrono::seconds StartupTime {2};
+    static constexpr std::chrono::seconds GossipInterval {1};
+    /** Limit of members per gossip message, which keeps it within one Ethernet frame. */
+    static constexpr std::size_t MaximumGossipMembers = 16;
 
     FleetExchange(EventLoop &loop, FleetDirectory &directory, PeerSender &sender,
                   RandomSource &random, std::vector<Endpoint> seeds);
@@ -37,22 +38,22 @@
     FleetExchange &operator=(const FleetExchange &) = delete;
 
     void start();
-    /** Tells all members at once what this daemon now is; for what can't wait for summaries. */
+    /** Sends this daemon's present state to all members, without waiting for the next summary. */
     void announce();
-    /** To one member of each other cell, and no more often than its pause allows. */
+    /** Sends a summary to one member of each other cell, at most once per summary interval. */
     void sendSummaries();
-    void take(const MemberGossip &greeting);
+    void take(const MemberGossip &gossip);
     void take(const CellSummary &summary);
 
 private:
-    void greet();
-    std::vector<Endpoint> greeted();
-    bool isStarting() const { return m_loop.now() - m_started < StartingTime; }
-    /** With all known names where there is room for them in several greetings. */
-    void sendGreetings(const std::vector<Endpoint> &to, bool wantsAnswer, bool all);
+    void gossip();
+    std::vector<Endpoint> gossipReceivers();
+    bool isStarting() const { return m_loop.now() - m_started < StartupTime; }
+    /** If `all`, sends all known members, split over several messages; else one with a sample. */
+    void sendGossip(const std::vector<Endpoint> &to, bool wantsReply, bool all);
     CellSummary ownSummary();
-    /** The member of the cell whose turn it is; null when none may be alive. */
-    const KnownMember *nextOf(std::uint32_t cell) const;
+    /** Next receiver in the cell by round robin; null if no member of it may be alive. */
+    const KnownMember *nextReceiver(std::uint32_t cell) const;
 
     EventLoop &m_loop;
     FleetDirectory &m_directory;
@@ -60,10 +61,10 @@
     RandomSource &m_random;
     const std::vector<Endpoint> m_seeds;
     Instant m_started {};
-    Instant m_summarySent {};
-    /** Turns at the members of other cells; starts anywhere, so that not all go to the same. */
-    std::uint64_t m_round;
-    TimerId m_greeting = 0;
+    Instant m_lastSummary {};
+    /** Round-robin index for receivers; starts at random to spread the load of many senders. */
+    std::uint64_t m_roundRobinIndex;
+    TimerId m_gossipTimer = 0;
 };
 
 } // namespace Apricothook
--- a/packages/serving/apricothook/serving/apricothook_item_decoder.hpp
+++ b/packages/serving/apricothook/serving/apricothook_item_decoder.hpp
@@ -11,29 +11,29 @@
 enum class ItemKind {
     Configuration,
     Target,
-    Evacuation, ///< While it is there, its data centre's targets get nothing.
+    Evacuation, ///< Targets of the data centre get no requests while the item exists.
     Other,
 };
 
-/** A published item that can't be read: the field that is wrong. */
-struct ItemFault
+/** Decoding error of a published item: the invalid field. */
+struct ItemError
 {
     std::string field;
 
-    auto operator<=>(const ItemFault &) const = default;
+    auto operator<=>(const ItemError &) const = default;
 };
 
-/** Reads published items into the project's types; their formats behind one interface. */
+/** Interface that decodes published items of a platform's format into the project's types. */
 class ItemDecoder
 {
 public:
     virtual ~ItemDecoder() = default;
     virtual ItemKind kindOf(std::string_view key) const = 0;
-    virtual Result<ServingConfiguration, ItemFault> configuration(std::string_view value) const = 0;
+    virtual Result<ServingConfiguration, ItemError> configuration(std::string_view value) const = 0;
     virtual TargetId targetOfKey(std::string_view key) const = 0;
-    /** Of an evacuation's key. */
+    /** Data centre named by the key of an evacuation. */
     virtual DataCentreId dataCentreOfKey(std::string_view key) const = 0;
-    virtual Result<TargetEntry, ItemFault> target(std::string_view key,
+    virtual Result<TargetEntry, ItemError> target(std::string_view key,
                                                   std::string_view value) const = 0;
 };
 
--- a/packages/serving/apricothook/serving/apricothook_limit_exchange.cpp
+++ b/packages/serving/apricothook/serving/apricothook_limit_exchange.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-GrantorCandidate candidateOf(const MemberInfo &brief)
+GrantorCandidate candidateOf(const MemberInfo &info)
 {
-    return {{memberHash(brief.member), brief.beaconAddress}, brief.capacity, brief.isLeaving};
+    return {{memberHash(info.member), info.beaconAddress}, info.capacity, info.isLeaving};
 }
 
 } // namespace
@@ -18,7 +18,7 @@
                              RandomSource &random, const std::vector<Endpoint> &seeds)
     : m_loop(loop)
     , m_directory(directory)
-    , m_size(size)
+    , m_fleetSize(size)
     , m_sender(sender)
     , m_gateway(gateway)
     , m_random(random)
@@ -31,13 +31,15 @@
 void LimitExchange::tick()
 {
     const Instant now = m_loop.now();
-    const Endpoint own = m_sender.ownBrief().beaconAddress;
+    const Endpoint own = m_sender.ownInfo().beaconAddress;
     CustomerRateLimiter &limits = m_gateway.limits();
-    // Without the size a daemon that nobody has reached for long would take itself for the fleet.
+    // The directory alone would let a daemon that has been unreachable for long believe that it is
+    // the whole fleet.
     const std::size_t known = m_directory.knownCount(now);
-    const std::size_t daemons = std::max(known, m_size.daemons().value_or(known));
+    const std::size_t daemons = std::max(known, m_fleetSize.daemons().value_or(known));
     limits.setReachableFraction(
-        limitFractionOf(m_reach.reachableFraction(knownMembers().size(), daemons, now)), now);
+        limitFractionOf(m_reachability.reachableFraction(knownMembers().size(), daemons, now)),
+        now);
     limits.setFleet({.members = candidates(),
                      .known = daemons,
                      .isComplete = m_directory.hasDiscoveredFleet(m_seeds, own, now),
@@ -49,9 +51,9 @@
 
 std::optional<Instant> LimitExchange::startedTogether() const
 {
-    const Incarnation own = m_sender.ownBrief().process;
+    const Incarnation own = m_sender.ownInfo().process;
     const auto isOlder = [own](const auto &entry) {
-        return entry.second.info.process.value() + StartedTogether.count() < own.value();
+        return entry.second.info.process.value() + StartTolerance.count() < own.value();
     };
     if (std::ranges::any_of(m_directory.members(), isOlder))
         return std::nullopt;
@@ -60,7 +62,7 @@
 
 std::vector<GrantorCandidate> LimitExchange::candidates() const
 {
-    std::vector<GrantorCandidate> candidates {candidateOf(m_sender.ownBrief())};
+    std::vector<GrantorCandidate> candidates {candidateOf(m_sender.ownInfo())};
     for (const auto &[id, member] : m_directory.members()) {
         if (m_directory.isLive(member, m_loop.now()))
             candidates.push_back(candidateOf(member.info));
@@ -83,15 +85,15 @@
 {
     if (!m_gateway.limits().isCandidate())
         return;
-    const Endpoint own = m_sender.ownBrief().beaconAddress;
+    const Endpoint own = m_sender.ownInfo().beaconAddress;
     std::vector<const KnownMember *> known = knownMembers();
     for (std::size_t sent = 0; sent < ReachabilityEstimator::ProbesPerRound && !known.empty();
          ++sent) {
-        const std::size_t drawn = m_random.next() % known.size();
+        const std::size_t index = m_random.next() % known.size();
         const ReachProbe probe {own, m_random.next()};
-        m_reach.sent(probe.probe, m_loop.now());
-        m_sender.send(known[drawn]->info.beaconAddress, probe);
-        known.erase(known.begin() + static_cast<std::ptrdiff_t>(drawn));
+        m_reachability.sent(probe.probe, m_loop.now());
+        m_sender.send(known[index]->info.beaconAddress, probe);
+        known.erase(known.begin() + static_cast<std::ptrdiff_t>(index));
     }
 }
 
@@ -100,9 +102,9 @@
     m_sender.send(probe.sender, ReachReply {probe.probe});
 }
 
-void LimitExchange::take(const ReachReply &answer)
+void LimitExchange::take(const ReachReply &reply)
 {
-    m_reach.answered(answer.probe);
+    m_reachability.answered(reply.probe);
 }
 
 void LimitExchange::send(const Endpoint &to, const LimitMessage &message)
--- a/packages/serving/apricothook/serving/apricothook_limit_exchange.hpp
+++ b/packages/serving/apricothook/serving/apricothook_limit_exchange.hpp
@@ -10,26 +10,25 @@
 
 namespace Apricothook {
 
-/** Tells the customers' limits who is in the fleet and what of it is reached, and carries their
- * messages. */
+/** Connects the customers' limits to the fleet: membership, reachability and messages. */
 class LimitExchange : private LimitMessenger
 {
 public:
     /**
-     * Processes that start within so long of each other were started together. Their incarnations
-     * are times of day; VMs that are started at once take some tenths of a second, and their clocks
-     * differ by less.
+     * Largest difference between incarnations, which are times of day, of processes that count as
+     * started together. VMs that are started at once come up some tenths of a second apart, and
+     * their clocks differ by less.
      */
-    static constexpr std::chrono::milliseconds StartedTogether {1000};
+    static constexpr std::chrono::milliseconds StartTolerance {1000};
 
     LimitExchange(EventLoop &loop, const FleetDirectory &directory, const FleetSize &size,
                   PeerSender &sender, Gateway &gateway, RandomSource &random,
                   const std::vector<Endpoint> &seeds);
 
-    /** To be called some times a second. */
+    /** To be called several times a second. */
     void tick();
     void take(const ReachProbe &probe);
-    void take(const ReachReply &answer);
+    void take(const ReachReply &reply);
     template <typename Message>
     void take(const Message &message)
     {
@@ -41,20 +40,20 @@
     void send(const Endpoint &to, const LimitMessage &message) override;
     void sendProbes();
     std::vector<GrantorCandidate> candidates() const;
-    /** When this daemon started, if no known one started before it. */
+    /** Start time of this daemon, if no known daemon started before it. */
     std::optional<Instant> startedTogether() const;
-    /** Members that may be serving, seen or not. */
+    /** Members that may still serve, including silent ones. */
     std::vector<const KnownMember *> knownMembers() const;
 
     EventLoop &m_loop;
     const FleetDirectory &m_directory;
-    const FleetSize &m_size;
+    const FleetSize &m_fleetSize;
     PeerSender &m_sender;
     Gateway &m_gateway;
     RandomSource &m_random;
     const std::vector<Endpoint> m_seeds;
     const Instant m_started;
-    ReachabilityEstimator m_reach;
+    ReachabilityEstimator m_reachability;
 };
 
 } // namespace Apricothook
--- a/packages/serving/apricothook/serving/apricothook_lookup_policy.cpp
+++ b/packages/serving/apricothook/serving/apricothook_lookup_policy.cpp
@@ -4,14 +4,14 @@
 
 namespace {
 
-constexpr std::size_t EnoughEntries = 2;
+constexpr std::size_t MinimumAddresses = 2;
 
 template <typename IsNear>
-std::vector<Endpoint> select(const std::vector<LookupEntry> &ready, const IsNear &isNear)
+std::vector<Endpoint> select(const std::vector<LookupCandidate> &ready, const IsNear &isNear)
 {
     std::vector<Endpoint> addresses;
-    for (const LookupEntry &entry : ready) {
-        if (isNear(entry) && addresses.size() < MostLookupEntries)
+    for (const LookupCandidate &entry : ready) {
+        if (isNear(entry) && addresses.size() < MaximumLookupAddresses)
             addresses.push_back(entry.address);
     }
     return addresses;
@@ -19,21 +19,21 @@
 
 } // namespace
 
-std::vector<Endpoint> nearEntries(const std::vector<LookupEntry> &ready,
-                                  const std::map<DataCentreId, RegionId> &regions,
-                                  const LookupQuestion &question)
+std::vector<Endpoint> nearestAddresses(const std::vector<LookupCandidate> &ready,
+                                       const std::map<DataCentreId, RegionId> &regions,
+                                       const LookupRequest &request)
 {
     const auto inDataCentre
-        = [&](const LookupEntry &entry) { return entry.dataCentre == question.dataCentre; };
-    const auto inRegion = [&](const LookupEntry &entry) {
+        = [&](const LookupCandidate &entry) { return entry.dataCentre == request.dataCentre; };
+    const auto inRegion = [&](const LookupCandidate &entry) {
         const auto region = regions.find(entry.dataCentre);
-        return region != regions.end() && region->second == question.region;
+        return region != regions.end() && region->second == request.region;
     };
-    if (auto near = select(ready, inDataCentre); near.size() >= EnoughEntries)
+    if (auto near = select(ready, inDataCentre); near.size() >= MinimumAddresses)
         return near;
-    if (auto near = select(ready, inRegion); near.size() >= EnoughEntries)
+    if (auto near = select(ready, inRegion); near.size() >= MinimumAddresses)
         return near;
-    return select(ready, [](const LookupEntry &) { return true; });
+    return select(ready, [](const LookupCandidate &) { return true; });
 }
 
 } // namespace Apricothook
--- a/packages/serving/apricothook/serving/apricothook_lookup_policy.hpp
+++ b/packages/serving/apricothook/serving/apricothook_lookup_policy.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <apricothook/serving/apricothook_lookup_dialect.hpp>
+#include <apricothook/serving/apricothook_lookup_protocol.hpp>
 
 #include <map>
 #include <vector>
@@ -8,24 +8,24 @@
 namespace Apricothook {
 
 /** A daemon that serves callers. */
-struct LookupEntry
+struct LookupCandidate
 {
     Endpoint address;
     DataCentreId dataCentre;
 
-    auto operator<=>(const LookupEntry &) const = default;
+    auto operator<=>(const LookupCandidate &) const = default;
 };
 
-/** Most addresses in one answer. */
-constexpr std::size_t MostLookupEntries = 64;
+/** Limit of addresses in a lookup response. */
+constexpr std::size_t MaximumLookupAddresses = 64;
 
 /**
- * The entries for a caller: those in its data centre, as bytes between data centres cost time and
- * money. One entry alone would leave its callers with nothing when it dies, so with fewer than two
- * the whole region answers, then everyone.
+ * Selects the addresses for a caller. Addresses in its own data centre are preferred, as traffic
+ * between data centres costs time and money. A single address would leave its callers without a
+ * daemon if it dies, so with fewer than two the whole region is used, then the whole fleet.
  */
-std::vector<Endpoint> nearEntries(const std::vector<LookupEntry> &ready,
-                                  const std::map<DataCentreId, RegionId> &regions,
-                                  const LookupQuestion &question);
+std::vector<Endpoint> nearestAddresses(const std::vector<LookupCandidate> &ready,
+                                       const std::map<DataCentreId, RegionId> &regions,
+                                       const LookupRequest &request);
 
 } // namespace Apricothook
--- a/packages/serving/apricothook/serving/apricothook_peer_exchange.cpp
+++ b/packages/serving/apricothook/serving/apricothook_peer_exchange.cpp
@@ -18,11 +18,12 @@
     , m_metrics(metrics)
     , m_log(log)
     , m_directory(settings.member)
-    , m_size(m_directory, settings.seeds, settings.beaconAddress)
-    , m_cold(m_directory, settings.seeds, settings.beaconAddress, settings.bounds.entryInterval)
+    , m_fleetSize(m_directory, settings.seeds, settings.beaconAddress)
+    , m_coldViewTracker(m_directory, settings.seeds, settings.beaconAddress,
+                        settings.bounds.entryInterval)
     , m_cell(loop, m_directory, *this, gateway, log)
     , m_fleet(loop, m_directory, *this, random, settings.seeds)
-    , m_limits(loop, m_directory, m_size, *this, gateway, random, settings.seeds)
+    , m_limits(loop, m_directory, m_fleetSize, *this, gateway, random, settings.seeds)
     , m_suspects(loop, m_directory, *this, random, log)
     , m_revisions(loop, published, log)
 {
@@ -36,7 +37,7 @@
 
 Result<void, ListenError> PeerExchange::start(std::function<void(bool reads)> readingChanged)
 {
-    m_tellReading = std::move(readingChanged);
+    m_onReadingChanged = std::move(readingChanged);
     Result<std::unique_ptr<DatagramSocket>, ListenError> socket = DatagramSocket::open(
         m_loop, m_settings.beaconAddress, [this](std::string_view bytes) { receive(bytes); });
     if (!socket)
@@ -52,27 +53,28 @@
 {
     const Instant now = m_loop.now();
     m_directory.review(now);
-    countMembers();
+    reviewFleetSize();
     m_gateway.targets().setCells(m_directory.weights(now));
     reviewColdTargets();
     reviewReading();
     m_cell.tick();
     m_limits.tick();
     m_fleet.sendSummaries();
-    if (m_loop.now() - m_noted >= ReaderSelection::AnnouncementInterval)
-        sendReaderNote();
-    const bool isStarting = m_loop.now() - m_started < StartingTime;
-    m_tick = m_loop.after(isStarting ? StartingPause : IdlePause, [this] { tick(); });
+    if (m_loop.now() - m_lastAnnouncement >= ReaderSelection::AnnouncementInterval)
+        sendReaderAnnouncement();
+    const bool isStarting = m_loop.now() - m_started < StartupTime;
+    m_tick = m_loop.after(isStarting ? StartupHeartbeatInterval : HeartbeatInterval,
+                          [this] { tick(); });
 }
 
 void PeerExchange::reviewColdTargets()
 {
     TargetTable &targets = m_gateway.targets();
     targets.review(m_loop.now());
-    ColdTargetSenders fleet
-        = m_cold.review({m_published.reachesSource(), sourceContact().anyReachable}, m_loop.now());
-    // Others hear that it leaves, and send in its place.
-    if (m_leaving)
+    ColdTargetSenders fleet = m_coldViewTracker.review(
+        {m_published.reachesSource(), sourceReachability().anyReachable}, m_loop.now());
+    // The others learn that this daemon leaves, and send to the cold targets in its place.
+    if (m_draining)
         fleet.view = std::min(fleet.view, ColdView::Outside);
     if (fleet.view != std::exchange(m_coldView, fleet.view)) {
         m_log.write(LogEvent(FleetviewEvent::ColdViewChanged)
@@ -82,92 +84,97 @@
     targets.setColdTargetSenders(std::move(fleet));
 }
 
-void PeerExchange::countMembers()
+void PeerExchange::reviewFleetSize()
 {
     const Instant now = m_loop.now();
     m_gateway.setMembers(m_directory.liveCount(now));
-    m_size.review(now);
-    m_gateway.setFleetSize(m_size.daemons());
+    m_fleetSize.review(now);
+    m_gateway.setFleetSize(m_fleetSize.daemons());
 }
 
 void PeerExchange::reviewReading()
 {
     const Instant now = m_loop.now();
-    noteSource();
-    if (!m_reads && m_published.hasLostSource() && now - m_readingChanged > LostMemory)
-        m_published.forgetSourceState();
-    // Who had to help itself goes on with it for a while: the reason is seldom gone at once.
+    updateSourceReachability();
+    if (!m_readsSource && m_published.hasLostSource() && now - m_readingChanged > ReaderRetryDelay)
+        m_published.clearSourceState();
+    // A daemon that peers failed to serve reads at the source for some time, as the cause seldom
+    // ends at once.
     if (m_revisions.isStuck())
-        m_stuckUntil = now + StuckTime;
-    // A process without a configuration can't wait for a peer that may have none either.
-    const MemberInfo self = ownBrief();
+        m_directReadUntil = now + DirectReadTime;
+    // A process without a configuration reads itself, as its peers may have none either.
+    const MemberInfo self = ownInfo();
     m_isCellReader = m_directory.isReader(self, now);
-    // Where targets are bounded while they are cold, a daemon that has just started soon knows
-    // which are, and may use the others.
-    const bool looksForCold
-        = m_gateway.targets().limitsColdTargets() && m_cold.mayHaveStaleEntries(true, now);
-    const bool reads = !m_published.hasConfiguration() || m_duty.shouldRead(m_directory, self, now)
-        || now < m_stuckUntil || looksForCold;
-    if (reads == std::exchange(m_reads, reads))
+    // If the rate at cold targets is limited, a daemon that has just started reads the source to
+    // learn sooner which targets are cold, and to use the warm ones.
+    const bool needsColdState = m_gateway.targets().limitsColdTargets()
+        && m_coldViewTracker.mayHaveStaleEntries(true, now);
+    const bool reads = !m_published.hasConfiguration()
+        || m_readerSelection.shouldRead(m_directory, self, now) || now < m_directReadUntil
+        || needsColdState;
+    if (reads == std::exchange(m_readsSource, reads))
         return;
     m_readingChanged = now;
-    m_revisions.setReads(reads);
-    m_tellReading(reads);
+    m_revisions.setReadsSource(reads);
+    m_onReadingChanged(reads);
 }
 
-SourceReachability PeerExchange::sourceContact() const
+SourceReachability PeerExchange::sourceReachability() const
 {
     const Instant now = m_loop.now();
-    SourceReachability contact = m_directory.sourceReachability(ownBrief(), now);
-    const SourceReachability ofFleet = m_duty.sourceReachability(now);
-    contact.anyReachable |= ofFleet.anyReachable;
-    contact.anyFailed |= ofFleet.anyFailed;
-    return contact;
+    SourceReachability reachability = m_directory.sourceReachability(ownInfo(), now);
+    const SourceReachability ofFleet = m_readerSelection.sourceReachability(now);
+    reachability.anyReachable |= ofFleet.anyReachable;
+    reachability.anyFailed |= ofFleet.anyFailed;
+    return reachability;
 }
 
-void PeerExchange::noteSource()
+void PeerExchange::updateSourceReachability()
 {
-    m_published.noteSource(sourceContact());
+    m_published.recordSourceReachability(sourceReachability());
 }
 
-void PeerExchange::noteOwnSource()
+void PeerExchange::onOwnSourceStateChanged()
 {
-    noteSource();
-    // Whoever is to read instead hears it at once, not with the next beacon.
+    updateSourceReachability();
+    // Informs the daemon that takes over the reading at once, not with the next regular heartbeat.
     if (!m_published.hasLostSource())
         return;
-    m_cell.sendBeacon();
-    sendReaderNote();
+    m_cell.sendHeartbeat();
+    sendReaderAnnouncement();
 }
 
-void PeerExchange::sendReaderNote()
+void PeerExchange::sendReaderAnnouncement()
 {
     const Instant now = m_loop.now();
-    const MemberInfo self = ownBrief();
-    // One that has just lost the source is no reader any more, and says so.
+    const MemberInfo self = ownInfo();
+    // A daemon that has just lost the source is no longer a reader, but must still announce that.
     const bool isReader = m_directory.isFleetReader(self, now) || self.hasLostSource;
-    if (!m_reads || m_directory.cells() == 1 || !isReader)
+    if (!m_readsSource || m_directory.cells() == 1 || !isReader)
         return;
-    m_noted = now;
+    m_lastAnnouncement = now;
     send(m_directory.readersOfOtherCells(now), ReaderAnnouncement {self, ownRevision()});
 }
 
-void PeerExchange::noteRevision()
+void PeerExchange::onItemsApplied()
 {
-    // Those who follow a reader hear at once; what they pass on can wait for their next beacon.
-    const bool isNews = std::exchange(m_lastTold, ownRevision()) != ownRevision();
-    if (!isNews || (!m_reads && !m_isCellReader) || !std::exchange(m_revisionTold, false))
+    // Readers announce a new revision at once. The other daemons include it in their next regular
+    // heartbeat.
+    const bool isNewRevision
+        = std::exchange(m_lastAnnouncedRevision, ownRevision()) != ownRevision();
+    if (!isNewRevision || (!m_readsSource && !m_isCellReader)
+        || !std::exchange(m_revisionAnnounced, false))
         return;
     m_loop.defer([this] {
-        m_revisionTold = true;
-        m_cell.sendBeacon();
-        sendReaderNote();
+        m_revisionAnnounced = true;
+        m_cell.sendHeartbeat();
+        sendReaderAnnouncement();
     });
 }
 
-void PeerExchange::startLeaving()
+void PeerExchange::startDraining()
 {
-    m_leaving = true;
+    m_draining = true;
     m_fleet.announce();
 }
 
@@ -184,10 +191,11 @@
     m_metrics.controlBytes(Direction::Sent, bytes.size() * to.size());
 }
 
-MemberInfo PeerExchange::ownBrief() const
+MemberInfo PeerExchange::ownInfo() const
 {
-    // The members of its cell know no other way whether the source answers anybody.
-    const bool followsReader = !m_reads && m_duty.reachableReaders(m_loop.now()) > 0;
+    // The members of the cell learn only from this field whether any reader reaches the source.
+    const bool followsReader
+        = !m_readsSource && m_readerSelection.reachableReaders(m_loop.now()) > 0;
     return {
         .member = m_settings.member,
         .process = m_process,
@@ -196,7 +204,7 @@
         .callerAddress = m_settings.callerAddress,
         .itemAddress = m_settings.controlAddress,
         .isReady = isReady(),
-        .isLeaving = m_leaving,
+        .isLeaving = m_draining,
         .reachesSource = m_published.reachesSource() || followsReader,
         .hasLostSource = m_published.hasLostSource(),
         .capacity = m_settings.capacity,
@@ -206,47 +214,49 @@
 
 std::uint64_t PeerExchange::ownRevision() const
 {
-    // What one that doesn't read heard at its start is no news, and its peers would ask it for
-    // everything.
+    // A daemon that doesn't read omits the revision of its first update, as that holds no new
+    // change and peers would request all items for it.
     const ItemReplica &replica = m_published.replica();
-    return m_reads || m_isCellReader ? replica.advertisedRevision() : replica.relevantRevision();
+    return m_readsSource || m_isCellReader ? replica.advertisedRevision()
+                                           : replica.relevantRevision();
 }
 
 void PeerExchange::receive(std::string_view bytes)
 {
     m_metrics.controlBytes(Direction::Received, bytes.size());
     const Result<PeerDatagram, CodecError> datagram = parsePeerDatagram(bytes);
-    // Datagrams may be cut or strangers'; the next whole one replaces what this one told.
+    // Ignores truncated and foreign datagrams; the next valid one carries the same state.
     if (datagram)
         std::visit([this](const auto &message) { take(message); }, datagram.value());
 }
 
-void PeerExchange::take(const Heartbeat &beacon)
+void PeerExchange::take(const Heartbeat &heartbeat)
 {
-    m_directory.update(beacon.sender, m_loop.now());
-    m_cell.take(beacon);
-    // Before its items come: whether their removals are true depends on it.
-    noteSource();
-    if (beacon.sender.hasLostSource)
+    m_directory.update(heartbeat.sender, m_loop.now());
+    m_cell.take(heartbeat);
+    // Before the items are applied, as the state of the source decides whether their removals are
+    // credible.
+    updateSourceReachability();
+    if (heartbeat.sender.hasLostSource)
         reviewReading();
-    m_revisions.note(beacon.sender, beacon.revision);
+    m_revisions.recordPeerRevision(heartbeat.sender, heartbeat.revision);
 }
 
-void PeerExchange::take(const ReaderAnnouncement &note)
+void PeerExchange::take(const ReaderAnnouncement &announcement)
 {
-    m_duty.recordAnnouncement(note, m_loop.now());
-    m_directory.update(note.sender, m_loop.now());
-    noteSource();
-    if (note.sender.hasLostSource)
+    m_readerSelection.recordAnnouncement(announcement, m_loop.now());
+    m_directory.update(announcement.sender, m_loop.now());
+    updateSourceReachability();
+    if (announcement.sender.hasLostSource)
         reviewReading();
-    m_revisions.note(note.sender, note.revision);
+    m_revisions.recordPeerRevision(announcement.sender, announcement.revision);
 }
 
 void PeerExchange::take(const CellSummary &summary)
 {
     m_fleet.take(summary);
     if (!summary.members.empty())
-        m_revisions.note(summary.members.front(), summary.revision);
+        m_revisions.recordPeerRevision(summary.members.front(), summary.revision);
 }
 
 } // namespace Apricothook
--- a/packages/serving/apricothook/serving/apricothook_peer_exchange.hpp
+++ b/packages/serving/apricothook/serving/apricothook_peer_exchange.hpp
@@ -15,22 +15,22 @@
 
 namespace Apricothook {
 
-/** All that passes between this daemon and the others. */
+/** Sends and receives all datagrams between this daemon and the others. */
 class PeerExchange : private PeerSender
 {
 public:
-    /** Between beacons of an idle daemon. */
-    static constexpr std::chrono::milliseconds IdlePause {200};
-    /** The same in a process's first StartingTime: others wait to know it. */
-    static constexpr std::chrono::milliseconds StartingPause {100};
-    static constexpr std::chrono::seconds StartingTime {2};
+    /** Interval of heartbeats while nothing changes. */
+    static constexpr std::chrono::milliseconds HeartbeatInterval {200};
+    /** Interval of heartbeats during StartupTime, for faster discovery by the others. */
+    static constexpr std::chrono::milliseconds StartupHeartbeatInterval {100};
+    static constexpr std::chrono::seconds StartupTime {2};
     /**
-     * A reader that lost the source and was relieved tries again after so long; until then the
-     * next in the cell have shown whether they reach it.
+     * A reader that lost the source and was replaced becomes eligible again after this time; by
+     * then the next members of the cell have shown whether they reach the source.
      */
-    static constexpr std::chrono::seconds LostMemory {3};
-    /** A daemon that peers couldn't serve reads for itself for so long. */
-    static constexpr std::chrono::seconds StuckTime {3};
+    static constexpr std::chrono::seconds ReaderRetryDelay {3};
+    /** How long a daemon reads at the source after peers failed to deliver the items. */
+    static constexpr std::chrono::seconds DirectReadTime {3};
 
     PeerExchange(EventLoop &loop, const ServingSettings &settings, Incarnation process,
                  Gateway &gateway, PublishedState &published, RandomSource &random,
@@ -39,42 +39,42 @@
     PeerExchange(const PeerExchange &) = delete;
     PeerExchange &operator=(const PeerExchange &) = delete;
 
-    /** `readingChanged`: this daemon is to read at the source from now on, or no longer. */
+    /** Calls `readingChanged` when this daemon is to start or stop reading at the source. */
     Result<void, ListenError> start(std::function<void(bool reads)> readingChanged);
-    /** This daemon's own reading shows another state of the source. */
-    void noteOwnSource();
-    /** Published items have come into force here. */
-    void noteRevision();
-    /** This daemon's load or its waiting requests have changed. */
-    void noteChange() { m_cell.noteChange(); }
-    /** From now on no lookup names this daemon. */
-    void startLeaving();
-    bool isReady() const { return m_published.hasConfiguration() && !m_leaving; }
+    /** To be called when this daemon's own reading finds a different state of the source. */
+    void onOwnSourceStateChanged();
+    /** To be called after published items have been applied. */
+    void onItemsApplied();
+    /** To be called when this daemon's load or its waiting requests have changed. */
+    void onLoadChanged() { m_cell.scheduleReport(); }
+    /** Removes this daemon from lookups. */
+    void startDraining();
+    bool isReady() const { return m_published.hasConfiguration() && !m_draining; }
     const FleetDirectory &directory() const { return m_directory; }
 
 private:
     void send(const Endpoint &to, const PeerDatagram &datagram) override;
     void send(const std::vector<Endpoint> &to, const PeerDatagram &datagram) override;
-    MemberInfo ownBrief() const override;
+    MemberInfo ownInfo() const override;
     std::uint64_t ownRevision() const override;
 
     void tick();
     void reviewColdTargets();
-    void countMembers();
-    /** What this daemon, its cell and the readers of the fleet tell of the source. */
-    SourceReachability sourceContact() const;
-    void noteSource();
+    void reviewFleetSize();
+    /** State of the source as reported by this daemon, its cell and the fleet's readers. */
+    SourceReachability sourceReachability() const;
+    void updateSourceReachability();
     void reviewReading();
-    /** To the readers of the other cells, if this daemon reads for them. */
-    void sendReaderNote();
+    /** Informs the readers of the other cells, if this daemon reads for the fleet. */
+    void sendReaderAnnouncement();
     void receive(std::string_view bytes);
-    void take(const Heartbeat &beacon);
+    void take(const Heartbeat &heartbeat);
     void take(const CellLoadReport &report) { m_cell.take(report); }
     void take(const CellSummary &summary);
-    void take(const MemberGossip &greeting) { m_fleet.take(greeting); }
-    void take(const ReaderAnnouncement &note);
+    void take(const MemberGossip &gossip) { m_fleet.take(gossip); }
+    void take(const ReaderAnnouncement &announcement);
     void take(const SuspectNotice &notice) { m_suspects.take(notice); }
-    /** All that customers' limits need. */
+    /** Messages of the customers' limits. */
     template <typename Message>
     void take(const Message &message)
     {
@@ -89,21 +89,21 @@
     Metrics &m_metrics;
     LogWriter &m_log;
     Instant m_started {};
-    bool m_leaving = false;
-    bool m_reads = true;
-    /** The cell's other members get the items from this one. */
+    bool m_draining = false;
+    bool m_readsSource = true;
+    /** The other members of the cell get the items from this daemon. */
     bool m_isCellReader = true;
     Instant m_readingChanged {};
-    Instant m_noted {};
-    Instant m_stuckUntil {};
-    std::function<void(bool reads)> m_tellReading;
-    bool m_revisionTold = true;
-    Revision m_lastTold = 0;
+    Instant m_lastAnnouncement {};
+    Instant m_directReadUntil {};
+    std::function<void(bool reads)> m_onReadingChanged;
+    bool m_revisionAnnounced = true;
+    Revision m_lastAnnouncedRevision = 0;
     FleetDirectory m_directory;
-    FleetSize m_size;
-    ColdViewTracker m_cold;
+    FleetSize m_fleetSize;
+    ColdViewTracker m_coldViewTracker;
     ColdView m_coldView = ColdView::Alone;
-    ReaderSelection m_duty;
+    ReaderSelection m_readerSelection;
     CellExchange m_cell;
     FleetExchange m_fleet;
     LimitExchange m_limits;
--- a/packages/serving/apricothook/serving/apricothook_published_state.cpp
+++ b/packages/serving/apricothook/serving/apricothook_published_state.cpp
@@ -16,7 +16,7 @@
 
 PublishedState::~PublishedState()
 {
-    for (auto &[target, timer] : m_held)
+    for (auto &[target, timer] : m_delayedRemovals)
         m_loop.cancel(timer);
 }
 
@@ -42,15 +42,15 @@
     switch (m_decoder.kindOf(change.key)) {
     case ItemKind::Configuration:
         if (change.value)
-            takeConfiguration(change);
+            applyConfiguration(change);
         return true;
     case ItemKind::Target:
         if (change.value)
-            return takeTarget(change);
+            return applyTarget(change);
         removeTarget(m_decoder.targetOfKey(change.key), change.revision);
         return true;
     case ItemKind::Evacuation:
-        takeEvacuation(change);
+        applyEvacuation(change);
         return true;
     case ItemKind::Other:
         break;
@@ -58,9 +58,9 @@
     return true;
 }
 
-void PublishedState::takeConfiguration(const ItemChange &change)
+void PublishedState::applyConfiguration(const ItemChange &change)
 {
-    Result<ServingConfiguration, ItemFault> read = m_decoder.configuration(*change.value);
+    Result<ServingConfiguration, ItemError> read = m_decoder.configuration(*change.value);
     if (!read) {
         reject(change, read.error());
         return;
@@ -77,35 +77,35 @@
     m_gateway.setConfiguration(std::make_shared<const RouteTable>(std::move(read).value()));
 }
 
-bool PublishedState::takeTarget(const ItemChange &change)
+bool PublishedState::applyTarget(const ItemChange &change)
 {
-    const Result<TargetEntry, ItemFault> read = m_decoder.target(change.key, *change.value);
+    const Result<TargetEntry, ItemError> read = m_decoder.target(change.key, *change.value);
     if (!read) {
         rejectTarget(change, read.error());
         return true;
     }
     const TargetEntry &target = read.value();
     TrackedTarget *known = m_gateway.targets().find(target.id);
-    // Targets that tell their start always do; taken for a new one, this entry would end all that
-    // runs there.
+    // A target that states its start time always does. This entry would look like a restart and
+    // end all requests that run at the target.
     if (known && known->entry.startedAt != 0 && target.startedAt == 0) {
         rejectTarget(change, {"start"});
         return true;
     }
-    // A write that was held up takes effect with a later revision than the target's newer word.
-    // Taken for the present one, requests went on to a target that was about to end; its sequence
-    // tells.
-    if (isOlderThanLeaving(target)) {
+    // A delayed write takes effect with a later revision than a newer write of the target. If the
+    // revision decided, requests would go to a target that is about to end, so the sequence
+    // number decides.
+    if (isOlderThanDraining(target)) {
         m_log.write(LogEvent(FleetviewEvent::OldEntryIgnored)
                         .with("target", target.id.text())
                         .with("sequence", target.sequence)
-                        .with("leaving_sequence", m_leaving.at(target.instance()).sequence)
+                        .with("leaving_sequence", m_drainRecords.at(target.instance()).sequence)
                         .with("revision", change.revision));
         return true;
     }
-    noteLeaving(target);
-    releaseHeld(target.id);
-    if (known && isBeat(known->entry, target)) {
+    recordDraining(target);
+    cancelDelayedRemoval(target.id);
+    if (known && isRenewal(known->entry, target)) {
         known->entry = target;
         return false;
     }
@@ -122,7 +122,7 @@
     return true;
 }
 
-bool PublishedState::isBeat(const TargetEntry &before, TargetEntry now)
+bool PublishedState::isRenewal(const TargetEntry &before, TargetEntry now)
 {
     if (now.remainingColdTime > before.remainingColdTime)
         return false;
@@ -131,10 +131,10 @@
     return now == before;
 }
 
-void PublishedState::takeEvacuation(const ItemChange &change)
+void PublishedState::applyEvacuation(const ItemChange &change)
 {
     const DataCentreId dataCentre = m_decoder.dataCentreOfKey(change.key);
-    // Its being there counts, whatever it holds.
+    // The evacuation is in force while the item exists, whatever its value.
     const bool isEvacuated = change.value.has_value();
     m_log.write(LogEvent(FleetviewEvent::EvacuationChanged)
                     .with("data_centre", dataCentre.text())
@@ -144,51 +144,53 @@
     m_gateway.setEvacuated(dataCentre, isEvacuated);
 }
 
-bool PublishedState::isOlderThanLeaving(const TargetEntry &target) const
+bool PublishedState::isOlderThanDraining(const TargetEntry &target) const
 {
-    const auto leaving = m_leaving.find(target.instance());
-    return leaving != m_leaving.end() && target.sequence < leaving->second.sequence;
+    const auto record = m_drainRecords.find(target.instance());
+    return record != m_drainRecords.end() && target.sequence < record->second.sequence;
 }
 
-void PublishedState::noteLeaving(const TargetEntry &target)
+void PublishedState::recordDraining(const TargetEntry &target)
 {
     const Instant now = m_loop.now();
-    std::erase_if(m_leaving,
-                  [now](const auto &entry) { return now - entry.second.heard > LeavingMemory; });
+    std::erase_if(m_drainRecords, [now](const auto &entry) {
+        return now - entry.second.recordedAt > DrainRecordLifetime;
+    });
     if (target.isDraining)
-        m_leaving[target.instance()] = {target.sequence, now};
+        m_drainRecords[target.instance()] = {target.sequence, now};
     else
-        m_leaving.erase(target.instance());
+        m_drainRecords.erase(target.instance());
 }
 
 void PublishedState::removeTarget(const TargetId &target, Revision revision)
 {
     const Instant now = m_loop.now();
     const TrackedTarget *known = m_gateway.targets().find(target);
-    // A target that had announced its leaving has left.
-    const bool hold = known && !known->entry.isDraining && m_outage.mayHaveExpired(now);
-    m_log.write(LogEvent(hold ? FleetviewEvent::RemovalHeld : FleetviewEvent::TargetChanged)
+    // The removal of a draining target is expected and needs no delay.
+    const bool isDelayed = known && !known->entry.isDraining && m_outage.mayHaveExpired(now);
+    m_log.write(LogEvent(isDelayed ? FleetviewEvent::RemovalHeld : FleetviewEvent::TargetChanged)
                     .with("target", target.text())
                     .with("state", std::string("removed"))
                     .with("revision", revision));
-    if (!hold) {
+    if (!isDelayed) {
         m_gateway.removeTarget(target);
         return;
     }
-    m_held[target] = m_loop.after(m_outage.removalsUncertainUntil(now) - now, [this, target] {
-        m_held.erase(target);
-        m_gateway.removeTarget(target);
-    });
+    m_delayedRemovals[target]
+        = m_loop.after(m_outage.removalsUncertainUntil(now) - now, [this, target] {
+              m_delayedRemovals.erase(target);
+              m_gateway.removeTarget(target);
+          });
 }
 
-void PublishedState::rejectTarget(const ItemChange &change, const ItemFault &fault)
+void PublishedState::rejectTarget(const ItemChange &change, const ItemError &error)
 {
-    reject(change, fault);
+    reject(change, error);
     const TargetId target = m_decoder.targetOfKey(change.key);
-    releaseHeld(target);
+    cancelDelayedRemoval(target);
     if (!m_gateway.targets().find(target))
         return;
-    // Nobody vouches for the address any more: another target may have it by now.
+    // No valid entry confirms the address any more; another target may use it by now.
     m_log.write(LogEvent(FleetviewEvent::TargetChanged)
                     .with("target", target.text())
                     .with("state", std::string("unreadable"))
@@ -196,20 +198,20 @@
     m_gateway.removeTarget(target);
 }
 
-void PublishedState::releaseHeld(const TargetId &target)
+void PublishedState::cancelDelayedRemoval(const TargetId &target)
 {
-    const auto held = m_held.find(target);
-    if (held == m_held.end())
+    const auto delayed = m_delayedRemovals.find(target);
+    if (delayed == m_delayedRemovals.end())
         return;
-    m_loop.cancel(held->second);
-    m_held.erase(held);
+    m_loop.cancel(delayed->second);
+    m_delayedRemovals.erase(delayed);
 }
 
-void PublishedState::reject(const ItemChange &change, const ItemFault &fault)
+void PublishedState::reject(const ItemChange &change, const ItemError &error)
 {
     m_log.write(LogEvent(FleetviewEvent::ItemRejected)
                     .with("key", change.key)
-                    .with("field", fault.field)
+                    .with("field", error.field)
                     .with("revision", change.revision));
 }
 
--- a/packages/serving/apricothook/serving/apricothook_published_state.hpp
+++ b/packages/serving/apricothook/serving/apricothook_published_state.hpp
@@ -12,23 +12,24 @@
 namespace Apricothook {
 
 /**
- * Brings published items into force at the gateway.
+ * Applies published items to the gateway.
  *
- * An entry that can't be read comes from a writer other than its target. It names no target, and
- * what it replaced is gone; the other entries hold.
+ * A target's entry that can't be decoded was written by something other than the target. It
+ * registers no target and still replaces the previous entry; other entries are unaffected.
  *
- * A configuration replaces only an older one. Entries of targets lapse while the service that holds
- * them is away, though the targets serve on; removals that are heard then, and shortly after, are
- * held until a living target has had time to register again.
+ * A configuration replaces only an older one. Entries of targets expire during an outage of the
+ * service that stores them, though the targets keep serving. Removals received during an outage or
+ * shortly after it are therefore delayed until a live target has had time to register again.
  */
 class PublishedState
 {
 public:
     /**
-     * A target's leaving is remembered for so long. A held-up write and a target's drain take some
-     * seconds each; ten times as much is enough, and a fleet has few leaving targets a minute.
+     * How long the draining state of a target is remembered. A delayed write and a target's drain
+     * take some seconds each; this is ten times as long, and only a few targets of a fleet leave
+     * per minute.
      */
-    static constexpr std::chrono::seconds LeavingMemory {60};
+    static constexpr std::chrono::seconds DrainRecordLifetime {60};
 
     PublishedState(EventLoop &loop, Gateway &gateway, const ItemDecoder &decoder, LogWriter &log);
     ~PublishedState();
@@ -36,32 +37,35 @@
     PublishedState &operator=(const PublishedState &) = delete;
 
     void apply(const ItemUpdate &update);
-    /** What this daemon's own reading shows. */
+    /** Sets the state of the source as found by this daemon's own reading. */
     void setSourceState(SourceState state);
-    /** This daemon doesn't read at the source any more; the last state says nothing now. */
-    void forgetSourceState() { m_sourceState.reset(); }
-    /** What the daemons of the cell, this one with them, tell of the source. */
-    void noteSource(const SourceReachability &contact) { m_outage.note(contact, m_loop.now()); }
+    /** Discards the state, which is outdated once this daemon no longer reads at the source. */
+    void clearSourceState() { m_sourceState.reset(); }
+    /** Takes the state of the source as reported by the daemons of the cell, including this one. */
+    void recordSourceReachability(const SourceReachability &reachability)
+    {
+        m_outage.note(reachability, m_loop.now());
+    }
     bool reachesSource() const { return m_sourceState == SourceState::Reachable; }
     bool hasLostSource() const { return m_sourceState && !reachesSource(); }
     const ItemReplica &replica() const { return m_replica; }
     bool hasConfiguration() const { return m_generation.has_value(); }
 
 private:
-    /** True when peers need to hear of it. */
+    /** Returns true if peers need the change. */
     bool onChange(const ItemChange &change);
-    void takeConfiguration(const ItemChange &change);
-    bool takeTarget(const ItemChange &change);
-    void takeEvacuation(const ItemChange &change);
+    void applyConfiguration(const ItemChange &change);
+    bool applyTarget(const ItemChange &change);
+    void applyEvacuation(const ItemChange &change);
     void removeTarget(const TargetId &target, Revision revision);
-    void reject(const ItemChange &change, const ItemFault &fault);
-    void rejectTarget(const ItemChange &change, const ItemFault &fault);
-    /** The target wrote this entry before the one that told of its leaving. */
-    bool isOlderThanLeaving(const TargetEntry &target) const;
-    void noteLeaving(const TargetEntry &target);
-    /** The target says only that it lives; that it is less cold than before is known without it. */
-    static bool isBeat(const TargetEntry &before, TargetEntry now);
-    void releaseHeld(const TargetId &target);
+    void reject(const ItemChange &change, const ItemError &error);
+    void rejectTarget(const ItemChange &change, const ItemError &error);
+    /** True if the target wrote this entry before it announced that it is draining. */
+    bool isOlderThanDraining(const TargetEntry &target) const;
+    void recordDraining(const TargetEntry &target);
+    /** True if the entry only renews the previous one; a shorter cold time needs no message. */
+    static bool isRenewal(const TargetEntry &before, TargetEntry now);
+    void cancelDelayedRemoval(const TargetId &target);
 
     EventLoop &m_loop;
     Gateway &m_gateway;
@@ -71,15 +75,15 @@
     std::optional<Generation> m_generation;
     std::optional<SourceState> m_sourceState;
     SourceOutage m_outage;
-    /** Removals that wait, by target. */
-    std::map<TargetId, TimerId> m_held;
-    struct Leaving
+    /** Timers of delayed removals, by target. */
+    std::map<TargetId, TimerId> m_delayedRemovals;
+    struct DrainRecord
     {
         std::uint64_t sequence = 0;
-        Instant heard {};
+        Instant recordedAt {};
     };
-    /** Starts of targets that told of their leaving, also after they are gone. */
-    std::map<TargetInstance, Leaving> m_leaving;
+    /** Target instances that announced draining; kept after the target is removed. */
+    std::map<TargetInstance, DrainRecord> m_drainRecords;
 };
 
 } // namespace Apricothook
--- a/packages/serving/apricothook/serving/apricothook_revision_follower.cpp
+++ b/packages/serving/apricothook/serving/apricothook_revision_follower.cpp
@@ -12,13 +12,13 @@
                                                        std::optional<ItemUpdate> update) {
         m_loop.post([this, alive, peer, update = std::move(update)] {
             if (!alive.expired())
-                take(peer, update);
+                applyFetched(peer, update);
         });
     })
 {
 }
 
-void RevisionFollower::take(const MemberInfo &peer, const std::optional<ItemUpdate> &update)
+void RevisionFollower::applyFetched(const MemberInfo &peer, const std::optional<ItemUpdate> &update)
 {
     const Revision before = m_published.replica().revision();
     if (update)
@@ -26,32 +26,32 @@
     m_log.write(LogEvent(update ? FleetviewEvent::ItemsFromPeer : FleetviewEvent::PeerItemsFailed)
                     .with("peer", peer.member.text())
                     .with("own_revision", before)
-                    .with("peer_revision", update ? update->revision : m_laterRevision));
+                    .with("peer_revision", update ? update->revision : m_peerRevision));
 }
 
 bool RevisionFollower::isStuck() const
 {
-    return m_behindSince && m_published.replica().revision() < m_laterRevision
-        && m_loop.now() - *m_behindSince > PeerTime;
+    return m_behindSince && m_published.replica().revision() < m_peerRevision
+        && m_loop.now() - *m_behindSince > PeerTimeout;
 }
 
-void RevisionFollower::note(const MemberInfo &peer, Revision revision)
+void RevisionFollower::recordPeerRevision(const MemberInfo &peer, Revision revision)
 {
     const Revision own = m_published.replica().revision();
-    if (own >= m_laterRevision)
+    if (own >= m_peerRevision)
         m_behindSince.reset();
     if (revision <= own)
         return;
     const Instant now = m_loop.now();
     if (!m_behindSince) {
         m_behindSince = now;
-        m_laterRevision = revision;
+        m_peerRevision = revision;
     }
-    if (m_reads && now - *m_behindSince < OwnSourceTime)
+    if (m_readsSource && now - *m_behindSince < OwnSourceTimeout)
         return;
-    if (now - m_fetched < FetchPause || !m_fetcher.fetch(peer, own))
+    if (now - m_lastFetch < FetchInterval || !m_fetcher.fetch(peer, own))
         return;
-    m_fetched = now;
+    m_lastFetch = now;
 }
 
 } // namespace Apricothook
--- a/packages/serving/apricothook/serving/apricothook_revision_follower.hpp
+++ b/packages/serving/apricothook/serving/apricothook_revision_follower.hpp
@@ -11,44 +11,45 @@
 
 namespace Apricothook {
 
-/** Asks peers for published items that the own source hasn't told in time. */
+/** Fetches published items from peers if this daemon's own source doesn't deliver them in time. */
 class RevisionFollower
 {
 public:
-    /** A peer's later revision is asked for when the own source hasn't told it by then. */
-    static constexpr std::chrono::milliseconds OwnSourceTime {250};
+    /** Time for the own source to deliver a peer's later revision before the peer is queried. */
+    static constexpr std::chrono::milliseconds OwnSourceTimeout {250};
 
     /**
-     * Behind a peer for so long, peers don't do: a reader on a small link can't give a dozen
-     * daemons the entries of thousands of targets. Half of what a configuration may take.
+     * Time for the peers to deliver a later revision. A reader on a small link can't send the
+     * entries of thousands of targets to a dozen daemons. Half of the time within which a
+     * configuration must be in force.
      */
-    static constexpr std::chrono::milliseconds PeerTime {1000};
-    /** Between fetches, so that changes gather. */
-    static constexpr std::chrono::milliseconds FetchPause {100};
+    static constexpr std::chrono::milliseconds PeerTimeout {1000};
+    /** Minimum interval of fetches; batches changes. */
+    static constexpr std::chrono::milliseconds FetchInterval {100};
 
     RevisionFollower(EventLoop &loop, PublishedState &published, LogWriter &log);
 
-    /** `reads`: this daemon reads at the source itself, and waits a moment for it. */
-    void setReads(bool reads) { m_reads = reads; }
-    /** Peers have had a later revision for PeerTime and didn't give it. */
+    /** If `reads`, this daemon reads at the source and waits OwnSourceTimeout for it. */
+    void setReadsSource(bool reads) { m_readsSource = reads; }
+    /** Peers have had a later revision for PeerTimeout and have not delivered it. */
     bool isStuck() const;
-    /** A peer has told its revision. */
-    void note(const MemberInfo &peer, Revision revision);
+    /** To be called when a peer reports its revision. */
+    void recordPeerRevision(const MemberInfo &peer, Revision revision);
 
 private:
-    void take(const MemberInfo &peer, const std::optional<ItemUpdate> &update);
+    void applyFetched(const MemberInfo &peer, const std::optional<ItemUpdate> &update);
 
     EventLoop &m_loop;
     PublishedState &m_published;
     LogWriter &m_log;
-    bool m_reads = true;
-    /** Since when a peer has had a later revision than this daemon. */
+    bool m_readsSource = true;
+    /** When a peer first reported a later revision than this daemon's. */
     std::optional<Instant> m_behindSince;
-    Revision m_laterRevision = 0;
-    Instant m_fetched {};
-    /** What the fetcher's thread has posted may run after this has gone. */
+    Revision m_peerRevision = 0;
+    Instant m_lastFetch {};
+    /** Guards callbacks that the fetcher's thread posted and that run after destruction. */
     std::shared_ptr<bool> m_alive = std::make_shared<bool>(true);
-    /** Last: its thread uses the members above. */
+    /** Declared last, as its thread uses the members above. */
     PeerItemFetcher m_fetcher;
 };
 
--- a/packages/serving/apricothook/serving/apricothook_serving_process.cpp
+++ b/packages/serving/apricothook/serving/apricothook_serving_process.cpp
@@ -12,15 +12,15 @@
 namespace {
 
 constexpr std::string_view MetricsPath = "/metrics";
-constexpr std::chrono::seconds RankPause {1};
-/** Between looks whether a stopping process has ended its requests. */
-constexpr std::chrono::milliseconds EndPause {50};
+constexpr std::chrono::seconds MetricsInterval {1};
+/** Interval of the checks whether a stopping process has completed its requests. */
+constexpr std::chrono::milliseconds PollInterval {50};
 
-SmallAnswer statusAlone(unsigned status)
+SimpleHttpResponse statusOnly(unsigned status)
 {
-    SmallAnswer answer;
-    answer.status = status;
-    return answer;
+    SimpleHttpResponse response;
+    response.status = status;
+    return response;
 }
 
 } // namespace
@@ -41,33 +41,36 @@
 
 ServingProcess::~ServingProcess()
 {
-    // Its thread posts to the loop, which goes after it.
+    // The watcher's thread posts to the loop and must end before it.
     m_watcher.reset();
 }
 
 Result<void, ListenError> ServingProcess::start()
 {
-    const auto open = [this](std::unique_ptr<SmallHttpServer> &server, const Endpoint &address,
-                             SmallAnswer (ServingProcess::*answer)(const RequestHead &)
-                                 const) -> Result<void, ListenError> {
-        Result<std::unique_ptr<SmallHttpServer>, ListenError> opened
-            = SmallHttpServer::open(m_loop, address, [this, answer](const RequestHead &request) {
-                  return (this->*answer)(request);
+    const auto openServer
+        = [this](std::unique_ptr<SimpleHttpServer> &server, const Endpoint &address,
+                 SimpleHttpResponse (ServingProcess::*response)(const RequestHead &)
+                     const) -> Result<void, ListenError> {
+        Result<std::unique_ptr<SimpleHttpServer>, ListenError> opened
+            = SimpleHttpServer::open(m_loop, address, [this, response](const RequestHead &request) {
+                  return (this->*response)(request);
               });
         if (!opened)
             return opened.error();
         server = std::move(opened).value();
         return Outcomes::success();
     };
-    BOOST_OUTCOME_TRY(open(m_control, m_settings.controlAddress, &ServingProcess::answerControl));
-    BOOST_OUTCOME_TRY(open(m_lookups, m_settings.lookupAddress, &ServingProcess::answerLookup));
     BOOST_OUTCOME_TRY(
-        open(m_readiness, m_settings.readinessAddress, &ServingProcess::answerReadiness));
-    BOOST_OUTCOME_TRY(m_peers.start([this](bool reads) { setReading(reads); }));
+        openServer(m_control, m_settings.controlAddress, &ServingProcess::handleControl));
+    BOOST_OUTCOME_TRY(
+        openServer(m_lookups, m_settings.lookupAddress, &ServingProcess::handleLookup));
+    BOOST_OUTCOME_TRY(
+        openServer(m_readiness, m_settings.readinessAddress, &ServingProcess::handleReadiness));
+    BOOST_OUTCOME_TRY(m_peers.start([this](bool reads) { setReadsSource(reads); }));
     BOOST_OUTCOME_TRY(m_gateway.listen(m_settings.callerAddress));
-    m_gateway.setLoadListener([this] { m_peers.noteChange(); });
-    watchItems();
-    rankCustomers();
+    m_gateway.setLoadListener([this] { m_peers.onLoadChanged(); });
+    startItemWatcher();
+    updateMetrics();
     m_log.write(LogEvent(FleetviewEvent::ProcessStarted)
                     .with("callers", m_settings.callerAddress.text())
                     .with("beacons", m_settings.beaconAddress.text())
@@ -76,21 +79,21 @@
     return Outcomes::success();
 }
 
-void ServingProcess::watchItems()
+void ServingProcess::startItemWatcher()
 {
     const auto updated = [this](ItemUpdate update) {
         const auto apply = [this, update = std::move(update)] {
             m_published.apply(update);
-            m_peers.noteRevision();
+            m_peers.onItemsApplied();
         };
-        // The ring is full only while the loop is far behind; the update must not be lost.
+        // The loop's queue is full only while the loop lags far behind; no update may be dropped.
         while (!m_loop.post(apply))
-            std::this_thread::sleep_for(EndPause);
+            std::this_thread::sleep_for(PollInterval);
     };
     const auto changed = [this](SourceState state) {
         m_loop.post([this, state] {
             m_published.setSourceState(state);
-            m_peers.noteOwnSource();
+            m_peers.onOwnSourceStateChanged();
         });
     };
     m_watcher = std::make_unique<ItemWatcher>(
@@ -98,7 +101,7 @@
         ItemWatcher::watchTime(m_settings.bounds.applyTimeout), updated, changed);
 }
 
-void ServingProcess::setReading(bool reads)
+void ServingProcess::setReadsSource(bool reads)
 {
     const Revision known = m_published.replica().revision();
     m_log.write(
@@ -109,7 +112,7 @@
         m_watcher->pauseReading();
 }
 
-void ServingProcess::rankCustomers()
+void ServingProcess::updateMetrics()
 {
     m_metrics.updateTopCustomers(m_loop.now());
     m_metrics.set(MetricGauge::LiveMembers,
@@ -122,43 +125,43 @@
     const TargetTable &targets = m_gateway.targets();
     m_metrics.set(MetricGauge::EvacuatedTargets, static_cast<double>(targets.evacuatedCount()));
     m_metrics.set(MetricGauge::ColdTargets, static_cast<double>(targets.coldCount()));
-    m_loop.after(RankPause, [this] { rankCustomers(); });
+    m_loop.after(MetricsInterval, [this] { updateMetrics(); });
 }
 
-std::vector<LookupEntry> ServingProcess::readyEntries() const
+std::vector<LookupCandidate> ServingProcess::lookupCandidates() const
 {
-    std::vector<LookupEntry> entries;
+    std::vector<LookupCandidate> candidates;
     if (m_peers.isReady())
-        entries.push_back({m_settings.callerAddress, m_settings.dataCentre});
+        candidates.push_back({m_settings.callerAddress, m_settings.dataCentre});
     const FleetDirectory &directory = m_peers.directory();
     for (const auto &[id, member] : directory.members()) {
-        const MemberInfo &brief = member.info;
-        if (directory.isRoutable(member, m_loop.now()) && brief.isReady && !brief.isLeaving)
-            entries.push_back({brief.callerAddress, brief.dataCentre});
+        const MemberInfo &info = member.info;
+        if (directory.isRoutable(member, m_loop.now()) && info.isReady && !info.isLeaving)
+            candidates.push_back({info.callerAddress, info.dataCentre});
     }
-    return entries;
+    return candidates;
 }
 
-SmallAnswer ServingProcess::answerLookup(const RequestHead &request) const
+SimpleHttpResponse ServingProcess::handleLookup(const RequestHead &request) const
 {
-    const std::optional<LookupQuestion> question = m_adapters.lookups.question(request);
-    if (!question)
-        return statusAlone(HttpStatus::NotFound);
-    const std::vector<Endpoint> entries
-        = nearEntries(readyEntries(), m_settings.regions, *question);
-    if (entries.empty())
-        return statusAlone(HttpStatus::Unavailable);
-    return m_adapters.lookups.answer({entries, LookupKeep});
+    const std::optional<LookupRequest> lookup = m_adapters.lookups.parseLookup(request);
+    if (!lookup)
+        return statusOnly(HttpStatus::NotFound);
+    const std::vector<Endpoint> candidates
+        = nearestAddresses(lookupCandidates(), m_settings.regions, *lookup);
+    if (candidates.empty())
+        return statusOnly(HttpStatus::Unavailable);
+    return m_adapters.lookups.lookupResponse({candidates, LookupTtl});
 }
 
-SmallAnswer ServingProcess::answerReadiness(const RequestHead &request) const
+SimpleHttpResponse ServingProcess::handleReadiness(const RequestHead &request) const
 {
-    if (!m_adapters.lookups.asksReadiness(request))
-        return statusAlone(HttpStatus::NotFound);
-    return statusAlone(m_peers.isReady() ? HttpStatus::Ok : HttpStatus::Unavailable);
+    if (!m_adapters.lookups.isReadinessRequest(request))
+        return statusOnly(HttpStatus::NotFound);
+    return statusOnly(m_peers.isReady() ? HttpStatus::Ok : HttpStatus::Unavailable);
 }
 
-SmallAnswer ServingProcess::answerControl(const RequestHead &request) const
+SimpleHttpResponse ServingProcess::handleControl(const RequestHead &request) const
 {
     if (request.target == MetricsPath)
         return {.status = HttpStatus::Ok,
@@ -169,10 +172,10 @@
                 .contentType = "application/json",
                 .body = writeItemUpdate(m_published.replica().since(*after))};
     }
-    return statusAlone(HttpStatus::NotFound);
+    return statusOnly(HttpStatus::NotFound);
 }
 
-void ServingProcess::startStopping()
+void ServingProcess::startShutdown()
 {
     if (std::exchange(m_stopping, true))
         return;
@@ -180,30 +183,30 @@
     m_log.write(LogEvent(FleetviewEvent::ProcessStopping)
                     .with("open_requests", m_gateway.openRequests())
                     .with("connections", m_gateway.callerConnections()));
-    m_peers.startLeaving();
+    m_peers.startDraining();
     m_gateway.startDraining();
-    // A call that is under way at the end would hold the process beyond its grace, and it would be
-    // killed with its last answers unsent.
-    m_loop.after(m_settings.bounds.grace - EndMargin - ItemWatcher::StopTime,
+    // A call to the source that is still open at the end would keep the process alive beyond its
+    // grace period; it would be killed before its last responses are sent.
+    m_loop.after(m_settings.bounds.grace - ShutdownMargin - ItemWatcher::StopTime,
                  [this] { m_watcher->stop(); });
-    const Instant latest = now + m_settings.bounds.grace - EndMargin;
-    m_loop.after(KeepFactor * LookupKeep, [this, latest] {
-        stopTaking();
-        endWhenDone(latest);
+    const Instant latest = now + m_settings.bounds.grace - ShutdownMargin;
+    m_loop.after(TtlFactor * LookupTtl, [this, latest] {
+        stopAccepting();
+        stopWhenIdle(latest);
     });
 }
 
-void ServingProcess::stopTaking()
+void ServingProcess::stopAccepting()
 {
     m_gateway.refuseNewRequests();
     m_gateway.stopListening();
 }
 
-void ServingProcess::endWhenDone(Instant latest)
+void ServingProcess::stopWhenIdle(Instant latest)
 {
     const bool isDone = m_gateway.openRequests() == 0 && m_gateway.callerConnections() == 0;
     if (!isDone && m_loop.now() < latest) {
-        m_loop.after(EndPause, [this, latest] { endWhenDone(latest); });
+        m_loop.after(PollInterval, [this, latest] { stopWhenIdle(latest); });
         return;
     }
     m_log.write(
--- a/packages/serving/apricothook/serving/apricothook_serving_process.hpp
+++ b/packages/serving/apricothook/serving/apricothook_serving_process.hpp
@@ -2,40 +2,41 @@
 
 #include <apricothook/fleetview/apricothook_item_watcher.hpp>
 #include <apricothook/gateway/apricothook_gateway.hpp>
-#include <apricothook/serving/apricothook_lookup_dialect.hpp>
 #include <apricothook/serving/apricothook_lookup_policy.hpp>
+#include <apricothook/serving/apricothook_lookup_protocol.hpp>
 #include <apricothook/serving/apricothook_peer_exchange.hpp>
 #include <apricothook/serving/apricothook_published_state.hpp>
 #include <apricothook/serving/apricothook_serving_settings.hpp>
-#include <apricothook/serving/apricothook_small_http_server.hpp>
+#include <apricothook/serving/apricothook_simple_http_server.hpp>
 
 #include <memory>
 
 namespace Apricothook {
 
-/** The adapters to what callers, targets and the configuration service speak. */
+/** Adapters to the protocols of callers, targets and the configuration service. */
 struct ServingAdapters
 {
     const WireProtocol &wire;
     const ItemProtocol &items;
     const ItemDecoder &decoder;
-    const LookupDialect &lookups;
+    const LookupProtocol &lookups;
 };
 
 /**
- * A daemon that serves callers from what it hears: all parts joined on one event loop.
+ * A daemon that serves callers, assembled from its parts on one event loop.
  *
- * It stops in steps. First it leaves lookups and readiness and serves on, as callers keep what they
- * heard. When that must have lapsed it takes nothing new, ends what it has, and exits.
+ * A shutdown has two phases. First the daemon is no longer ready and lookups leave it out, but it
+ * keeps serving, as callers cache lookup results. Once cached results have expired, it refuses new
+ * requests, completes the open ones and exits.
  */
 class ServingProcess
 {
 public:
-    /** How long callers may keep a lookup's answer; some keep it three times as long. */
-    static constexpr std::chrono::seconds LookupKeep {1};
-    static constexpr int KeepFactor = 3;
-    /** Left of the grace when the process ends whatever is open. */
-    static constexpr std::chrono::milliseconds EndMargin {600};
+    /** How long callers may cache a lookup result; some cache it three times as long. */
+    static constexpr std::chrono::seconds LookupTtl {1};
+    static constexpr int TtlFactor = 3;
+    /** Part of the grace period left over when the process ends despite open requests. */
+    static constexpr std::chrono::milliseconds ShutdownMargin {600};
 
     ServingProcess(const ServingSettings &settings, const ServingAdapters &adapters,
                    const Clock &clock, RandomSource &random, LogWriter &log);
@@ -44,21 +45,21 @@
     ServingProcess &operator=(const ServingProcess &) = delete;
 
     Result<void, ListenError> start();
-    /** Serves until a stop is complete. */
+    /** Serves until the shutdown is complete. */
     void run() { m_loop.run(); }
-    void startStopping();
+    void startShutdown();
     EventLoop &loop() { return m_loop; }
 
 private:
-    SmallAnswer answerLookup(const RequestHead &request) const;
-    SmallAnswer answerReadiness(const RequestHead &request) const;
-    SmallAnswer answerControl(const RequestHead &request) const;
-    std::vector<LookupEntry> readyEntries() const;
-    void watchItems();
-    void setReading(bool reads);
-    void stopTaking();
-    void endWhenDone(Instant latest);
-    void rankCustomers();
+    SimpleHttpResponse handleLookup(const RequestHead &request) const;
+    SimpleHttpResponse handleReadiness(const RequestHead &request) const;
+    SimpleHttpResponse handleControl(const RequestHead &request) const;
+    std::vector<LookupCandidate> lookupCandidates() const;
+    void startItemWatcher();
+    void setReadsSource(bool reads);
+    void stopAccepting();
+    void stopWhenIdle(Instant latest);
+    void updateMetrics();
 
     const ServingSettings m_settings;
     const ServingAdapters m_adapters;
@@ -69,9 +70,9 @@
     Gateway m_gateway;
     PublishedState m_published;
     PeerExchange m_peers;
-    std::unique_ptr<SmallHttpServer> m_lookups;
-    std::unique_ptr<SmallHttpServer> m_readiness;
-    std::unique_ptr<SmallHttpServer> m_control;
+    std::unique_ptr<SimpleHttpServer> m_lookups;
+    std::unique_ptr<SimpleHttpServer> m_readiness;
+    std::unique_ptr<SimpleHttpServer> m_control;
     std::unique_ptr<ItemWatcher> m_watcher;
     bool m_stopping = false;
 };
--- a/packages/serving/apricothook/serving/apricothook_serving_settings.hpp
+++ b/packages/serving/apricothook/serving/apricothook_serving_settings.hpp
@@ -10,7 +10,7 @@
 
 namespace Apricothook {
 
-/** What a serving daemon is told about itself at its start. */
+/** Settings of a serving daemon, read at its start. */
 struct ServingSettings
 {
     MemberId member;
@@ -18,17 +18,17 @@
     RegionId region;
     /** The region of every data centre. */
     std::map<DataCentreId, RegionId> regions;
-    /** Its part of a core in hundredths; other daemons name it to callers by this. */
+    /** Share of a CPU core in hundredths; larger daemons are preferred as readers and grantors. */
     std::uint32_t capacity = 100;
     Endpoint callerAddress;
     Endpoint readinessAddress;
     Endpoint lookupAddress;
-    /** Peers' questions for items, and the metrics. */
+    /** Serves published items to peers, and the metrics. */
     Endpoint controlAddress;
     Endpoint beaconAddress;
-    /** Beacon addresses of some daemons; they may be out of date. */
+    /** Heartbeat addresses of some daemons, possibly outdated. */
     std::vector<Endpoint> seeds;
-    /** Where the configuration and the targets are published. */
+    /** Service at which the configuration and the targets are published. */
     Endpoint itemSource;
     FleetBounds bounds;
     PolicySwitches policies;
--- a/packages/serving/apricothook/serving/apricothook_small_http_server.cpp
+++ b/packages/serving/apricothook/serving/apricothook_simple_http_server.cpp
@@ -1,4 +1,4 @@
-#include <apricothook/serving/apricothook_small_http_server.hpp>
+#include <apricothook/serving/apricothook_simple_http_server.hpp>
 
 #include <apricothook/eventloop/apricothook_stream_socket.hpp>
 #include <apricothook/http1/apricothook_message_reader.hpp>
@@ -9,29 +9,29 @@
 
 namespace {
 
-/** Questions have no body to speak of. */
-constexpr MessageLimits QuestionLimits {8192, 4096};
-constexpr std::chrono::seconds IdleLimit {30};
-/** Connections that wait for a question; the oldest goes when there are more. */
-constexpr std::size_t MostConnections = 256;
+/** The requests carry no body or a small one. */
+constexpr MessageLimits RequestLimits {8192, 4096};
+constexpr std::chrono::seconds IdleTimeout {30};
+/** Limit of open connections; above it the oldest one is closed. */
+constexpr std::size_t MaximumConnections = 256;
 
 } // namespace
 
-class SmallHttpServer::Connection : private StreamSocketEvents
+class SimpleHttpServer::Connection : private StreamSocketEvents
 {
 public:
-    Connection(SmallHttpServer &server, int descriptor)
+    Connection(SimpleHttpServer &server, int descriptor)
         : m_server(server), m_loop(server.m_loop), m_socket(m_loop, *this, descriptor)
     {
         startIdleTimer();
     }
-    // It may end after the server: closed() leaves it to the loop.
+    // May run after the server's destructor, as onClosed() defers the destruction to the loop.
     ~Connection() override { m_loop.cancel(m_idle); }
 
     void close()
     {
         m_socket.close();
-        m_server.closed(*this);
+        m_server.onClosed(*this);
     }
 
 private:
@@ -45,24 +45,24 @@
             }
             bytes.remove_prefix(taken.value());
             if (m_reader.isComplete())
-                answer();
+                respond();
         }
     }
 
-    void onEnd(CloseReason) override { m_server.closed(*this); }
+    void onEnd(CloseReason) override { m_server.onClosed(*this); }
 
-    void answer()
+    void respond()
     {
         const RequestHead request = m_reader.head();
-        m_reader = RequestReader(QuestionLimits);
-        const SmallAnswer answer = m_server.m_handler(request);
+        m_reader = RequestReader(RequestLimits);
+        const SimpleHttpResponse response = m_server.m_handler(request);
         ResponseHead head;
-        head.status = answer.status;
-        head.headers.add("Content-Type", answer.contentType);
+        head.status = response.status;
+        head.headers.add("Content-Type", response.contentType);
         if (!request.isKeepAlive)
             head.headers.add("Connection", "close");
-        m_socket.send(writeResponseHead(head, {BodyFraming::Kind::Sized, answer.body.size()})
-                      + answer.body);
+        m_socket.send(writeResponseHead(head, {BodyFraming::Kind::Sized, response.body.size()})
+                      + response.body);
         if (!request.isKeepAlive)
             m_socket.shutdownSend();
         startIdleTimer();
@@ -71,27 +71,27 @@
     void startIdleTimer()
     {
         m_loop.cancel(m_idle);
-        m_idle = m_loop.after(IdleLimit, [this] { close(); });
+        m_idle = m_loop.after(IdleTimeout, [this] { close(); });
     }
 
-    SmallHttpServer &m_server;
+    SimpleHttpServer &m_server;
     EventLoop &m_loop;
-    RequestReader m_reader {QuestionLimits};
+    RequestReader m_reader {RequestLimits};
     TimerId m_idle = 0;
     StreamSocket m_socket;
 };
 
-SmallHttpServer::SmallHttpServer(EventLoop &loop, Handler handler)
+SimpleHttpServer::SimpleHttpServer(EventLoop &loop, Handler handler)
     : m_loop(loop), m_handler(std::move(handler))
 {
 }
 
-SmallHttpServer::~SmallHttpServer() = default;
+SimpleHttpServer::~SimpleHttpServer() = default;
 
-Result<std::unique_ptr<SmallHttpServer>, ListenError>
-SmallHttpServer::open(EventLoop &loop, const Endpoint &address, Handler handler)
+Result<std::unique_ptr<SimpleHttpServer>, ListenError>
+SimpleHttpServer::open(EventLoop &loop, const Endpoint &address, Handler handler)
 {
-    std::unique_ptr<SmallHttpServer> server(new SmallHttpServer(loop, std::move(handler)));
+    std::unique_ptr<SimpleHttpServer> server(new SimpleHttpServer(loop, std::move(handler)));
     Result<std::unique_ptr<Listener>, ListenError> listener = Listener::open(
         loop, address, [raw = server.get()](int descriptor) { raw->accept(descriptor); });
     if (!listener)
@@ -100,20 +100,20 @@
     return server;
 }
 
-void SmallHttpServer::accept(int descriptor)
+void SimpleHttpServer::accept(int descriptor)
 {
     m_connections.push_back(std::make_unique<Connection>(*this, descriptor));
-    if (m_connections.size() > MostConnections)
+    if (m_connections.size() > MaximumConnections)
         m_connections.front()->close();
 }
 
-void SmallHttpServer::closed(Connection &connection)
+void SimpleHttpServer::onClosed(Connection &connection)
 {
     const auto found
         = std::ranges::find(m_connections, &connection, &std::unique_ptr<Connection>::get);
     if (found == m_connections.end())
         return;
-    // The connection is in the middle of one of its own calls; it goes when that is over.
+    // The connection is still executing one of its own methods; destroys it after that.
     m_loop.defer([gone = std::shared_ptr<Connection>(std::move(*found))] {});
     m_connections.erase(found);
 }
--- a/packages/serving/apricothook/serving/apricothook_small_http_server.hpp
+++ b/packages/serving/apricothook/serving/apricothook_simple_http_server.hpp
@@ -10,36 +10,36 @@
 
 namespace Apricothook {
 
-/** A whole answer of a few lines. */
-struct SmallAnswer
+/** A complete HTTP response with a small body. */
+struct SimpleHttpResponse
 {
     unsigned status = 200;
     std::string contentType = "text/plain";
     std::string body;
 
-    auto operator<=>(const SmallAnswer &) const = default;
+    auto operator<=>(const SimpleHttpResponse &) const = default;
 };
 
-/** Answers short questions that need no target: lookups, readiness, metrics, peers' items. */
-class SmallHttpServer
+/** Serves requests that need no target: lookups, readiness, metrics, published items for peers. */
+class SimpleHttpServer
 {
 public:
-    using Handler = std::function<SmallAnswer(const RequestHead &)>;
+    using Handler = std::function<SimpleHttpResponse(const RequestHead &)>;
 
-    static Result<std::unique_ptr<SmallHttpServer>, ListenError>
+    static Result<std::unique_ptr<SimpleHttpServer>, ListenError>
     open(EventLoop &loop, const Endpoint &address, Handler handler);
-    ~SmallHttpServer();
-    SmallHttpServer(const SmallHttpServer &) = delete;
-    SmallHttpServer &operator=(const SmallHttpServer &) = delete;
+    ~SimpleHttpServer();
+    SimpleHttpServer(const SimpleHttpServer &) = delete;
+    SimpleHttpServer &operator=(const SimpleHttpServer &) = delete;
 
     std::uint16_t port() const { return m_listener->port(); }
 
 private:
     class Connection;
 
-    SmallHttpServer(EventLoop &loop, Handler handler);
+    SimpleHttpServer(EventLoop &loop, Handler handler);
     void accept(int descriptor);
-    void closed(Connection &connection);
+    void onClosed(Connection &connection);
 
     EventLoop &m_loop;
     const Handler m_handler;
--- a/packages/serving/apricothook/serving/apricothook_suspect_exchange.cpp
+++ b/packages/serving/apricothook/serving/apricothook_suspect_exchange.cpp
@@ -41,7 +41,7 @@
     , m_sender(sender)
     , m_random(random)
     , m_log(log)
-    , m_members(directory, sender.ownBrief())
+    , m_members(directory, sender.ownInfo())
     , m_list(m_members, random, *this)
 {
 }
@@ -61,7 +61,7 @@
     if (!m_list.isSuspect(request))
         return;
     m_list.recordAnswer(request, now);
-    spreadCleared(request);
+    sendCleared(request);
 }
 
 void SuspectExchange::recordCrash(const TargetId &target, const std::vector<Fingerprint> &requests)
@@ -82,7 +82,7 @@
         return;
     }
     if (m_answered.contains(notice.fingerprint)) {
-        spreadCleared(notice.fingerprint);
+        sendCleared(notice.fingerprint);
         return;
     }
     m_members.review(m_loop.now());
@@ -101,19 +101,19 @@
     }
 }
 
-void SuspectExchange::spreadCleared(Fingerprint request)
+void SuspectExchange::sendCleared(Fingerprint request)
 {
     m_members.review(m_loop.now());
-    std::vector<Endpoint> others;
+    std::vector<Endpoint> receivers;
     for (const MemberUpdate &member : m_members.live()) {
         if (member.instance.member != m_members.self().member)
-            others.push_back(member.peerAddress);
+            receivers.push_back(member.peerAddress);
     }
-    for (std::size_t sent = 0; sent < SuspectLimits().fanOut && !others.empty(); ++sent) {
-        const auto drawn
-            = others.begin() + static_cast<std::ptrdiff_t>(m_random.next() % others.size());
-        m_sender.send(*drawn, PeerDatagram(SuspectNotice {request, {}, false, {}}));
-        others.erase(drawn);
+    for (std::size_t sent = 0; sent < SuspectLimits().fanOut && !receivers.empty(); ++sent) {
+        const auto chosen
+            = receivers.begin() + static_cast<std::ptrdiff_t>(m_random.next() % receivers.size());
+        m_sender.send(*chosen, PeerDatagram(SuspectNotice {request, {}, false, {}}));
+        receivers.erase(chosen);
     }
 }
 
--- a/packages/serving/apricothook/serving/apricothook_suspect_exchange.hpp
+++ b/packages/serving/apricothook/serving/apricothook_suspect_exchange.hpp
@@ -10,13 +10,13 @@
 
 namespace Apricothook {
 
-/** The live members of a directory, as the list of suspects wants them. */
+/** Adapts the live members of a directory to the interface that the list of suspects needs. */
 class LiveMembers : public MemberView
 {
 public:
     LiveMembers(const FleetDirectory &directory, const MemberInfo &self);
 
-    /** Takes over what the directory knows now. */
+    /** Copies the present members from the directory. */
     void review(Instant now);
 
     const MemberInstance &self() const override { return m_self; }
@@ -33,11 +33,12 @@
 };
 
 /**
- * Keeps requests that crash their targets from all targets of the fleet.
+ * Quarantines requests that crash their targets, for the whole fleet.
  *
- * Many callers may send identical requests at the same time, and some of these run at any target
- * that crashes. A daemon therefore doesn't suspect what it has seen answered lately, and clears it
- * at those that do: a notice without crashes says so, and is passed on while it is news.
+ * Many callers may send identical requests at the same time, so some of them run at any target that
+ * crashes. A daemon therefore doesn't suspect requests that were answered recently, and clears them
+ * at the daemons that do: it sends a notice without crashes, which receivers forward if they
+ * suspected the request.
  */
 class SuspectExchange : public SuspectGuard, private EventSink
 {
@@ -53,7 +54,7 @@
 private:
     void record(const DecisionEvent &event) override;
     void send(const Outbox &out);
-    void spreadCleared(Fingerprint request);
+    void sendCleared(Fingerprint request);
 
     EventLoop &m_loop;
     PeerSender &m_sender;
--- a/packages/serving/tests/apricothook_cold_fleet_tests.cpp
+++ b/packages/serving/tests/apricothook_cold_fleet_tests.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-enum class Harm {
+enum class Fault {
     KillOne,
     KillThird,
     KillAll,
@@ -22,9 +22,9 @@
     Evacuate,
     Loss,
 };
-constexpr int Harms = 11;
+constexpr int FaultKinds = 11;
 
-void play(EmulatedColdFleet &fleet, Harm harm)
+void inject(EmulatedColdFleet &fleet, Fault fault)
 {
     DeterministicRandom &random = fleet.random;
     const std::size_t one = random.next() % fleet.daemons();
@@ -36,35 +36,35 @@
                 act(index);
         }
     };
-    switch (harm) {
-    case Harm::KillOne:
+    switch (fault) {
+    case Fault::KillOne:
         return fleet.kill(one, time);
-    case Harm::KillThird:
+    case Fault::KillThird:
         return each(3, [&](std::size_t index) { fleet.kill(index, time); });
-    case Harm::KillAll:
+    case Fault::KillAll:
         return each(1,
                     [&](std::size_t index) { fleet.kill(index, Time(300 + random.next() % 300)); });
-    case Harm::Freeze:
+    case Fault::Freeze:
         return each(5, [&](std::size_t index) { fleet.freeze(index, time); });
-    case Harm::CutOff:
+    case Fault::CutOff:
         return each(3, [&](std::size_t index) { fleet.cutOff(index, time + Time(6000)); });
-    case Harm::Split:
+    case Fault::Split:
         return fleet.split(one, time, false);
-    case Harm::SplitOneWay:
+    case Fault::SplitOneWay:
         return fleet.split(one, time, true);
-    case Harm::Crash:
+    case Fault::Crash:
         return fleet.crash(random.next() % fleet.targets(), Time(300 + random.next() % 2000));
-    case Harm::CrashDataCentre:
+    case Fault::CrashDataCentre:
         return fleet.crashDataCentre(dataCentre, Time(1000 + random.next() % 2000));
-    case Harm::Evacuate:
+    case Fault::Evacuate:
         return fleet.evacuate(dataCentre, time + Time(5000));
-    case Harm::Loss:
-        fleet.lostOfThousand = 5 + random.next() % 100;
+    case Fault::Loss:
+        fleet.lossPerThousand = 5 + random.next() % 100;
         return;
     }
 }
 
-std::uint64_t seedsToPlay()
+std::uint64_t seedCount()
 {
     constexpr std::uint64_t InCi = 20;
     const char *wanted = std::getenv("COLD_SEEDS");
@@ -75,18 +75,19 @@
 
 TEST_CASE("a cold target's bound holds whatever dies, freezes, is lost, cut off or evacuated")
 {
-    // A target crashes again, with all that it works on, when it gets more requests in a second
-    // than it bears while it is cold. Daemons hear late of it, differ about the members, and some
-    // hear nothing at all; the harms overlap. COLD_SEEDS plays more.
+    // Guards against overload of cold targets: a target that gets more requests in a second than it
+    // can take while cold crashes again and loses all requests on it. Overlapping faults delay what
+    // daemons learn of it, make their member lists differ, or cut some of them off. The environment
+    // variable COLD_SEEDS sets the number of seeds.
     double worst = 0;
-    for (std::uint64_t seed = 1; seed <= seedsToPlay(); ++seed) {
+    for (std::uint64_t seed = 1; seed <= seedCount(); ++seed) {
         DeterministicRandom draw(seed);
         const std::size_t daemons = 1 + draw.next() % 40;
         EmulatedColdFleet fleet(daemons, 12 + draw.next() % 40, seed);
         fleet.run(Time(3000));
         for (int turn = 0; turn < 12; ++turn) {
             fleet.requestsPerSecond = 20 + draw.next() % 200;
-            play(fleet, static_cast<Harm>(draw.next() % Harms));
+            inject(fleet, static_cast<Fault>(draw.next() % FaultKinds));
             fleet.run(Time(draw.next() % 3000));
         }
         fleet.run(Time(6000));
@@ -99,14 +100,14 @@
     MESSAGE("worst ratio to the bound " << worst);
 }
 
-TEST_CASE("targets of a data centre that comes back serve most of what they bear while cold")
+TEST_CASE("targets of a returning data centre serve most of their capacity while cold")
 {
-    // Callers wait for a third of the capacity. Each daemon sends to the cold targets that are its
-    // own, so that they are in use at once and not only after seconds.
+    // Guards against cold targets that stay idle for seconds. Callers request a third of the
+    // capacity, and each daemon must send to the cold targets assigned to it at once.
     EmulatedColdFleet fleet(30, 30, 7);
     fleet.requestsPerSecond = 10;
     fleet.run(Time(5000));
-    // All of them, so that whatever is served is served by cold targets.
+    // All data centres crash, so that only cold targets serve requests.
     for (std::size_t dataCentre = 0; dataCentre < EmulatedColdFleet::DataCentres; ++dataCentre)
         fleet.crashDataCentre(dataCentre, Time(500));
     fleet.run(Time(2000));
--- a/packages/serving/tests/apricothook_emulated_cold_fleet.hpp
+++ b/packages/serving/tests/apricothook_emulated_cold_fleet.hpp
@@ -17,18 +17,18 @@
 
 class EmulatedColdFleet;
 
-/** The parts of one daemon's process that decide about cold targets, as they are assembled. */
-class EmulatedProcess : public EmulatedDaemon, private DispatchListener
+/** The components of a daemon that handle cold targets, wired as in the process. */
+class EmulatedColdDaemon : public EmulatedDaemon, private DispatchListener
 {
 public:
-    EmulatedProcess(EmulatedColdFleet &fleet, std::uint16_t number, EventLoop &loop,
-                    std::uint64_t startedAt);
+    EmulatedColdDaemon(EmulatedColdFleet &fleet, std::uint16_t number, EventLoop &loop,
+                       std::uint64_t startedAt);
 
     void step(unsigned requests) override;
     void take(const PeerDatagram &datagram) override;
 
-    /** It has just started, and reads at the source itself. */
-    bool isFresh() const { return m_cold.mayHaveStaleEntries(true, m_loop.now()); }
+    /** True for some time after the start, while the daemon reads at the source itself. */
+    bool isStarting() const { return m_coldViewTracker.mayHaveStaleEntries(true, m_loop.now()); }
 
     TargetTable targets;
 
@@ -46,17 +46,17 @@
     EmulatedColdFleet &m_fleet;
     EventLoop &m_loop;
     FleetDirectory m_directory;
-    ColdViewTracker m_cold;
+    ColdViewTracker m_coldViewTracker;
     FleetExchange m_exchange;
     Dispatcher m_dispatcher;
     std::vector<Running> m_running;
     std::uint64_t m_lastRequest = 0;
-    Instant m_ticked {};
+    Instant m_lastTick {};
 };
 
 /**
- * A fleet of daemons before targets that crash, come back and are evacuated. What is published
- * reaches each daemon at another moment. It counts what each cold target gets in any second.
+ * A fleet of daemons with targets that crash, restart and are evacuated. Published changes reach
+ * each daemon at a different time. Counts the requests that each cold target gets in any second.
  */
 class EmulatedColdFleet : public EmulatedFleet
 {
@@ -70,56 +70,56 @@
     EmulatedColdFleet(std::size_t daemons, std::size_t targets, std::uint64_t seed);
 
     std::size_t targets() const { return m_targets.size(); }
-    /** The most that a cold target got in any second, against its bound. */
+    /** Most requests that a cold target got in any second, divided by its bound. */
     double worstRatio() const;
-    /** Requests that reached targets which worked. */
+    /** Requests that reached a running target. */
     std::size_t served() const { return m_served; }
 
     void crash(std::size_t target, Time downFor);
     void crashDataCentre(std::size_t dataCentre, Time downFor);
-    /** The targets are cold when it ends. */
+    /** Evacuates the data centre for `time`; its targets are cold afterwards. */
     void evacuate(std::size_t dataCentre, Time time);
 
 private:
-    friend class EmulatedProcess;
+    friend class EmulatedColdDaemon;
 
     struct Target
     {
         TargetEntry entry;
         Time upAt {};
         Time coldUntil {};
-        Time wrote {};
-        std::deque<Time> sends;
+        Time lastWrite {};
+        std::deque<Time> requests;
     };
-    struct Evacuated
+    struct EvacuationState
     {
         DataCentreId dataCentre;
         bool isEvacuated = false;
     };
-    /** A target's entry, its removal, or a data centre's evacuation or its end. */
-    using News = std::variant<TargetEntry, TargetId, Evacuated>;
+    /** A target's entry, the removal of a target, or the start or end of an evacuation. */
+    using PublishedChange = std::variant<TargetEntry, TargetId, EvacuationState>;
     struct Change
     {
         Time at {};
-        News news;
+        PublishedChange published;
     };
     std::unique_ptr<EmulatedDaemon> start(std::uint16_t number, EventLoop &loop) override;
-    void beforeStep() override { writeEntries(); }
-    /** It hears what has been published. */
-    void beforeTurn(std::size_t number) override;
-    void publish(const News &news);
-    static void apply(EmulatedProcess &process, const News &news, Instant now);
-    void writeEntries();
-    void received(const TargetEntry &target);
+    void beforeStep() override { publishEntries(); }
+    /** Delivers published changes to the daemon. */
+    void beforeDaemonStep(std::size_t number) override;
+    void publish(const PublishedChange &change);
+    static void apply(EmulatedColdDaemon &process, const PublishedChange &change, Instant now);
+    void publishEntries();
+    void recordRequest(const TargetEntry &target);
     DataCentreId dataCentreOf(std::size_t target) const;
 
     std::vector<Target> m_targets;
     std::vector<Change> m_changes;
-    /** Changes that each daemon has taken. */
-    std::vector<std::size_t> m_taken;
-    /** What is published now. */
-    std::map<TargetId, TargetEntry> m_listedTargets;
-    std::set<DataCentreId> m_listedEvacuations;
+    /** Number of changes that each daemon has applied. */
+    std::vector<std::size_t> m_appliedChanges;
+    /** Entries that are published at present. */
+    std::map<TargetId, TargetEntry> m_publishedTargets;
+    std::set<DataCentreId> m_publishedEvacuations;
     struct Evacuation
     {
         std::size_t dataCentre = 0;
--- a/packages/serving/tests/apricothook_emulated_fleet.cpp
+++ b/packages/serving/tests/apricothook_emulated_fleet.cpp
@@ -27,14 +27,14 @@
         send(receiver, datagram);
 }
 
-MemberInfo EmulatedDaemon::ownBrief() const
+MemberInfo EmulatedDaemon::ownInfo() const
 {
-    MemberInfo brief;
-    brief.member = EmulatedFleet::memberOf(m_number);
-    brief.process = Incarnation(m_startedAt);
-    brief.beaconAddress = EmulatedFleet::addressOf(m_number);
-    brief.isReady = true;
-    return brief;
+    MemberInfo info;
+    info.member = EmulatedFleet::memberOf(m_number);
+    info.process = Incarnation(m_startedAt);
+    info.beaconAddress = EmulatedFleet::addressOf(m_number);
+    info.isReady = true;
+    return info;
 }
 
 EmulatedFleet::EmulatedFleet(std::size_t daemons, std::uint64_t seed)
@@ -87,8 +87,8 @@
             continue;
         if (!daemon.process)
             startDaemon(number);
-        beforeTurn(number);
-        for (const PeerDatagram &datagram : std::exchange(daemon.held, {}))
+        beforeDaemonStep(number);
+        for (const PeerDatagram &datagram : std::exchange(daemon.inbox, {}))
             daemon.process->take(datagram);
         const auto stepsOfSecond = static_cast<unsigned>(Time(1000) / Step);
         const unsigned part = requestsPerSecond % stepsOfSecond;
@@ -100,7 +100,7 @@
 void EmulatedFleet::startDaemon(std::size_t number)
 {
     Daemon &starting = m_daemons[number];
-    starting.held.clear();
+    starting.inbox.clear();
     starting.process = start(static_cast<std::uint16_t>(number), *starting.loop);
 }
 
@@ -110,23 +110,24 @@
     if (receiver >= m_daemons.size() || receiver == from || isCut(from, receiver))
         return;
     const std::uint64_t draw = random.next();
-    if (draw % 1000 < lostOfThousand)
+    if (draw % 1000 < lossPerThousand)
         return;
     const Time delay(1 + (draw >> 16) % 20);
-    m_way.push_back({m_now + delay, static_cast<std::uint16_t>(receiver), datagram});
-    if ((draw >> 32) % 1000 < lostOfThousand)
-        m_way.push_back({m_now + 10 * delay, static_cast<std::uint16_t>(receiver), datagram});
+    m_inFlight.push_back({m_now + delay, static_cast<std::uint16_t>(receiver), datagram});
+    if ((draw >> 32) % 1000 < lossPerThousand)
+        m_inFlight.push_back({m_now + 10 * delay, static_cast<std::uint16_t>(receiver), datagram});
 }
 
 void EmulatedFleet::deliver()
 {
-    const auto due = std::stable_partition(m_way.begin(), m_way.end(),
-                                           [this](const Way &way) { return way.due > m_now; });
-    const std::vector<Way> arrived(due, m_way.end());
-    m_way.erase(due, m_way.end());
-    for (const Way &way : arrived) {
+    const auto due
+        = std::stable_partition(m_inFlight.begin(), m_inFlight.end(),
+                                [this](const DatagramInFlight &way) { return way.due > m_now; });
+    const std::vector<DatagramInFlight> arrived(due, m_inFlight.end());
+    m_inFlight.erase(due, m_inFlight.end());
+    for (const DatagramInFlight &way : arrived) {
         if (m_daemons[way.to].process)
-            m_daemons[way.to].held.push_back(way.datagram);
+            m_daemons[way.to].inbox.push_back(way.datagram);
     }
 }
 
@@ -134,15 +135,15 @@
 {
     if (isCutOff(from) || isCutOff(to))
         return true;
-    if (m_splitUntil <= m_now || (from < m_splitAt) == (to < m_splitAt))
+    if (m_splitUntil <= m_now || (from < m_splitIndex) == (to < m_splitIndex))
         return false;
-    return !m_splitOneWay || from < m_splitAt;
+    return !m_splitOneWay || from < m_splitIndex;
 }
 
 void EmulatedFleet::kill(std::size_t daemon, Time downFor)
 {
     m_daemons[daemon].process.reset();
-    m_daemons[daemon].held.clear();
+    m_daemons[daemon].inbox.clear();
     m_daemons[daemon].downUntil = m_now + downFor;
 }
 
@@ -158,7 +159,7 @@
 
 void EmulatedFleet::split(std::size_t first, Time time, bool oneWay)
 {
-    m_splitAt = first;
+    m_splitIndex = first;
     m_splitUntil = m_now + time;
     m_splitOneWay = oneWay;
 }
--- a/packages/serving/tests/apricothook_emulated_fleet.hpp
+++ b/packages/serving/tests/apricothook_emulated_fleet.hpp
@@ -15,7 +15,7 @@
 
 class EmulatedFleet;
 
-/** One start of a daemon in an emulated fleet. */
+/** One process of a daemon in an emulated fleet. */
 class EmulatedDaemon : protected PeerSender
 {
 public:
@@ -24,14 +24,14 @@
     EmulatedDaemon(const EmulatedDaemon &) = delete;
     EmulatedDaemon &operator=(const EmulatedDaemon &) = delete;
 
-    /** One step of its life: what is due, and `requests` new ones. */
+    /** Runs due work and admits `requests` new requests. */
     virtual void step(unsigned requests) = 0;
     virtual void take(const PeerDatagram &datagram) = 0;
 
 protected:
     void send(const Endpoint &to, const PeerDatagram &datagram) override;
     void send(const std::vector<Endpoint> &to, const PeerDatagram &datagram) override;
-    MemberInfo ownBrief() const override;
+    MemberInfo ownInfo() const override;
     std::uint64_t ownRevision() const override { return 0; }
     std::uint16_t number() const { return m_number; }
 
@@ -42,8 +42,8 @@
 };
 
 /**
- * Daemons in virtual time on a network that delays, loses and doubles datagrams. They die, start
- * again, freeze and are cut off.
+ * A fleet of daemons in virtual time, on a network that delays, drops and duplicates datagrams.
+ * Daemons can be killed, restarted, frozen and cut off.
  */
 class EmulatedFleet
 {
@@ -63,27 +63,28 @@
     static Endpoint addressOf(std::size_t daemon);
     std::vector<Endpoint> seeds() const;
 
-    /** Requests that each daemon takes in a second. */
+    /** Requests per second at each daemon. */
     unsigned requestsPerSecond = 50;
-    /** Part of the datagrams that is lost, in thousandths. */
-    unsigned lostOfThousand = 5;
+    /** Fraction of dropped datagrams, in thousandths. */
+    unsigned lossPerThousand = 5;
 
     void kill(std::size_t daemon, Time downFor);
     void freeze(std::size_t daemon, Time time);
-    /** Neither the others nor what is published reach it. */
+    /** Isolates the daemon from the other daemons and from published changes. */
     void cutOff(std::size_t daemon, Time time);
-    /** Datagrams from the daemons before `first` to the others are lost, and back too. */
+    /** Partitions the daemons below `first` from the others; if `oneWay`, only datagrams from the
+     * lower ones arrive. */
     void split(std::size_t first, Time time, bool oneWay);
 
     DeterministicRandom random;
 
 protected:
     virtual std::unique_ptr<EmulatedDaemon> start(std::uint16_t number, EventLoop &loop) = 0;
-    /** Before what is on its way arrives. */
+    /** Called before datagrams in flight are delivered. */
     virtual void beforeStep() { }
-    /** Before the daemon, which isn't frozen or dead, takes its datagrams. */
-    virtual void beforeTurn(std::size_t) { }
-    /** To be called when the fleet is built. */
+    /** Called before a running daemon receives its datagrams. */
+    virtual void beforeDaemonStep(std::size_t) { }
+    /** To be called by the constructor of the derived class. */
     void startAll();
     EmulatedDaemon &daemon(std::size_t number) { return *m_daemons[number].process; }
     Instant timeAt(std::size_t number) const { return m_daemons[number].loop->now(); }
@@ -100,9 +101,9 @@
         Time downUntil {};
         Time frozenUntil {};
         Time cutUntil {};
-        std::vector<PeerDatagram> held;
+        std::vector<PeerDatagram> inbox;
     };
-    struct Way
+    struct DatagramInFlight
     {
         Time due {};
         std::uint16_t to = 0;
@@ -116,8 +117,8 @@
     bool isCut(std::size_t from, std::size_t to) const;
 
     std::vector<Daemon> m_daemons;
-    std::vector<Way> m_way;
-    std::size_t m_splitAt = 0;
+    std::vector<DatagramInFlight> m_inFlight;
+    std::size_t m_splitIndex = 0;
     Time m_splitUntil {};
     bool m_splitOneWay = false;
     Time m_now {};
--- a/packages/serving/tests/apricothook_emulated_retry_fleet.cpp
+++ b/packages/serving/tests/apricothook_emulated_retry_fleet.cpp
@@ -19,8 +19,8 @@
     , m_loop(loop)
     , m_directory(EmulatedFleet::memberOf(number))
     , m_exchange(loop, m_directory, *this, fleet.random, fleet.seeds())
-    , m_size(m_directory, fleet.seeds(), EmulatedFleet::addressOf(number))
-    , m_allowance(fleet.bounds(), loop.now())
+    , m_fleetSize(m_directory, fleet.seeds(), EmulatedFleet::addressOf(number))
+    , m_budget(fleet.bounds(), loop.now())
 {
     m_exchange.start();
     tick();
@@ -30,32 +30,32 @@
 {
     m_loop.runOnce(Time(0));
     const Instant now = m_loop.now();
-    if (now - m_ticked >= TickPause)
+    if (now - m_lastTick >= TickPause)
         tick();
     for (unsigned request = 0; request < requests; ++request) {
-        m_allowance.countRequest(now);
-        m_fleet.requested();
-        for (unsigned repeat = 0; repeat < EmulatedRetryFleet::MostRepeats; ++repeat) {
-            if (m_allowance.tryTake(now, m_size.daemons()).isGranted)
-                m_fleet.repeated();
+        m_budget.countRequest(now);
+        m_fleet.recordRequest();
+        for (unsigned retry = 0; retry < EmulatedRetryFleet::MaximumRetries; ++retry) {
+            if (m_budget.tryTake(now, m_fleetSize.daemons()).isGranted)
+                m_fleet.recordRetry();
         }
     }
 }
 
 void EmulatedRetryDaemon::tick()
 {
-    m_ticked = m_loop.now();
-    m_directory.review(m_ticked);
-    m_size.review(m_ticked);
+    m_lastTick = m_loop.now();
+    m_directory.review(m_lastTick);
+    m_fleetSize.review(m_lastTick);
     for (const KnownMember *member : m_directory.membersOfCell(m_directory.ownCell()))
-        send(member->info.beaconAddress, MemberGossip {ownBrief(), false, false, {}});
+        send(member->info.beaconAddress, MemberGossip {ownInfo(), false, false, {}});
     m_exchange.sendSummaries();
 }
 
 void EmulatedRetryDaemon::take(const PeerDatagram &datagram)
 {
-    if (const auto *greeting = std::get_if<MemberGossip>(&datagram))
-        m_exchange.take(*greeting);
+    if (const auto *gossip = std::get_if<MemberGossip>(&datagram))
+        m_exchange.take(*gossip);
     else
         m_exchange.take(std::get<CellSummary>(datagram));
 }
@@ -81,33 +81,34 @@
                                                  static_cast<std::uint64_t>(now().count()) + 1);
 }
 
-double EmulatedRetryFleet::repeatedPart() const
+double EmulatedRetryFleet::retriesPerRequest() const
 {
-    return static_cast<double>(m_allRepeats)
-        / static_cast<double>(std::max<std::size_t>(m_allRequests, 1));
+    return static_cast<double>(m_totalRetries)
+        / static_cast<double>(std::max<std::size_t>(m_totalRequests, 1));
 }
 
-void EmulatedRetryFleet::requested()
+void EmulatedRetryFleet::recordRequest()
 {
-    ++m_allRequests;
+    ++m_totalRequests;
     m_requests.push_back(now());
     while (m_requests.front() <= now() - 2 * Window)
         m_requests.pop_front();
 }
 
-void EmulatedRetryFleet::repeated()
+void EmulatedRetryFleet::recordRetry()
 {
-    ++m_allRepeats;
-    m_repeats.push_back(now());
-    while (m_repeats.front() <= now() - Window)
-        m_repeats.pop_front();
-    const std::size_t most = std::max(
-        {requestsUntil(now()), requestsUntil(now() - Window / 2), requestsUntil(now() - Window)});
+    ++m_totalRetries;
+    m_retries.push_back(now());
+    while (m_retries.front() <= now() - Window)
+        m_retries.pop_front();
+    const std::size_t most
+        = std::max({requestsInWindow(now()), requestsInWindow(now() - Window / 2),
+                    requestsInWindow(now() - Window)});
     const double budget = Ratio * static_cast<double>(most) + bounds().retrySlack;
-    m_worst = std::max(m_worst, static_cast<double>(m_repeats.size()) / budget);
+    m_worst = std::max(m_worst, static_cast<double>(m_retries.size()) / budget);
 }
 
-std::size_t EmulatedRetryFleet::requestsUntil(Time end) const
+std::size_t EmulatedRetryFleet::requestsInWindow(Time end) const
 {
     const auto from = std::ranges::upper_bound(m_requests, end - Window);
     const auto to = std::ranges::upper_bound(m_requests, end);
--- a/packages/serving/tests/apricothook_emulated_retry_fleet.hpp
+++ b/packages/serving/tests/apricothook_emulated_retry_fleet.hpp
@@ -12,7 +12,7 @@
 
 class EmulatedRetryFleet;
 
-/** The parts of one daemon's process that decide about repeated sends, as they are assembled. */
+/** The components of a daemon that decide about retries, wired as in the process. */
 class EmulatedRetryDaemon : public EmulatedDaemon
 {
 public:
@@ -29,42 +29,42 @@
     EventLoop &m_loop;
     FleetDirectory m_directory;
     FleetExchange m_exchange;
-    FleetSize m_size;
-    RetryBudgetShare m_allowance;
-    Instant m_ticked {};
+    FleetSize m_fleetSize;
+    RetryBudgetShare m_budget;
+    Instant m_lastTick {};
 };
 
 /**
- * Daemons before one service whose targets fail every request, so that each is sent again as often
- * as the allowance has it. It counts what the targets would.
+ * A fleet of daemons and one service whose targets fail every request, so that each request is
+ * retried as often as the budget allows. Counts requests and retries as the targets would.
  */
 class EmulatedRetryFleet : public EmulatedFleet
 {
 public:
     static constexpr double Ratio = 0.2;
     static constexpr Time Window {10000};
-    static constexpr unsigned MostRepeats = 2;
+    static constexpr unsigned MaximumRetries = 2;
 
     EmulatedRetryFleet(std::size_t daemons, std::uint64_t seed);
 
     FleetBounds bounds() const;
-    /** The largest part of the retry budget that was used in any window. */
+    /** Largest fraction of the retry budget that was used in any window. */
     double worstRatio() const { return m_worst; }
-    /** Of all requests. */
-    double repeatedPart() const;
+    /** Retries per request. */
+    double retriesPerRequest() const;
 
 private:
     friend class EmulatedRetryDaemon;
 
     std::unique_ptr<EmulatedDaemon> start(std::uint16_t number, EventLoop &loop) override;
-    void requested();
-    void repeated();
-    std::size_t requestsUntil(Time end) const;
+    void recordRequest();
+    void recordRetry();
+    std::size_t requestsInWindow(Time end) const;
 
     std::deque<Time> m_requests;
-    std::deque<Time> m_repeats;
-    std::size_t m_allRequests = 0;
-    std::size_t m_allRepeats = 0;
+    std::deque<Time> m_retries;
+    std::size_t m_totalRequests = 0;
+    std::size_t m_totalRetries = 0;
     double m_worst = 0;
 };
 
--- a/packages/serving/tests/apricothook_item_watcher_tests.cpp
+++ b/packages/serving/tests/apricothook_item_watcher_tests.cpp
@@ -1,5 +1,5 @@
 #include <apricothook/fleetview/apricothook_item_watcher.hpp>
-#include <apricothook/serving/apricothook_small_http_server.hpp>
+#include <apricothook/serving/apricothook_simple_http_server.hpp>
 
 #include <apricothook/testsupport/apricothook_manual_clock.hpp>
 
@@ -11,7 +11,7 @@
 
 namespace {
 
-/** Pages are asked for with "/all", changes with "/after/REVISION"; an answer is a revision. */
+/** Pages are requested by "/all", changes by "/after/REVISION"; the response is a revision. */
 class NumberProtocol : public ItemProtocol
 {
 public:
@@ -37,126 +37,127 @@
     }
 };
 
-/** A source on the test's loop, and a watcher of it. */
-struct SourceBench
+/** A source on the test's loop, with a watcher that reads it. */
+struct ItemWatcherFixture
 {
     ManualClock clock;
     EventLoop loop {clock};
     NumberProtocol protocol;
-    std::vector<std::string> asked;
+    std::vector<std::string> requests;
     unsigned status = 200;
     Revision revision = 5;
     std::vector<SourceState> states;
-    std::vector<Revision> told;
-    std::unique_ptr<SmallHttpServer> server
-        = SmallHttpServer::open(loop, {"127.0.0.1", 0}, [this](const RequestHead &request) {
-              asked.push_back(request.target);
-              return SmallAnswer {status, "text/plain", std::to_string(revision)};
+    std::vector<Revision> revisions;
+    std::unique_ptr<SimpleHttpServer> server
+        = SimpleHttpServer::open(loop, {"127.0.0.1", 0}, [this](const RequestHead &request) {
+              requests.push_back(request.target);
+              return SimpleHttpResponse {status, "text/plain", std::to_string(revision)};
           }).value();
     ItemWatcher watcher {
         {"127.0.0.1", server->port()},
         protocol,
         ItemWatcher::LongestWatch,
         [this](const ItemUpdate &update) {
-            loop.post([this, revision = update.revision] { told.push_back(revision); });
+            loop.post([this, revision = update.revision] { revisions.push_back(revision); });
         },
         [this](SourceState state) { loop.post([this, state] { states.push_back(state); }); }};
 
-    /** Lets the loop and the watcher work until it is so; no verdict depends on the limit. */
-    bool becomes(const std::function<bool()> &isTrue)
+    /** Runs the loop until `isTrue` holds. The limit only ends a failing test. */
+    bool waitUntil(const std::function<bool()> &isTrue)
     {
-        constexpr int MostRounds = 5000;
-        for (int round = 0; round < MostRounds && !isTrue(); ++round)
+        constexpr int MaximumRounds = 5000;
+        for (int round = 0; round < MaximumRounds && !isTrue(); ++round)
             loop.runOnce(std::chrono::milliseconds(1));
         return isTrue();
     }
-    /** Three times as long as a watcher that goes on takes between two calls. */
-    void passThreePauses()
+    /** Runs the loop for three times the pause of an active watcher between two calls. */
+    void runThreeBatchDelays()
     {
         for (auto left = 3 * ItemWatcher::BatchDelay; left.count() > 0; --left)
             loop.runOnce(std::chrono::milliseconds(1));
     }
-    bool hasAsked(const std::string &path)
+    bool waitForRequest(const std::string &path)
     {
-        return becomes([&] { return std::ranges::find(asked, path) != asked.end(); });
+        return waitUntil([&] { return std::ranges::find(requests, path) != requests.end(); });
     }
 };
 
 } // namespace
 
-TEST_CASE("a watch is short enough for another reader to take over in time")
+TEST_CASE("the watch time leaves another reader enough time to take over")
 {
-    // A new configuration is in force in time though the reader's connection fell silent just
-    // before it: silence shows after the wait and the time-out, and then others read.
+    // Guards against a late configuration when the reader's connection breaks without a reset just
+    // before it. The reader notices after the wait and the time-out; then another one takes over.
     for (const int milliseconds : {1500, 2000, 3000}) {
-        const std::chrono::milliseconds inForce {milliseconds};
-        const auto shows
-            = ItemWatcher::BatchDelay + ItemWatcher::watchTime(inForce) + ItemWatcher::AnswerTime;
-        CHECK(shows + ItemWatcher::FailoverTime <= inForce);
+        const std::chrono::milliseconds applyTimeout {milliseconds};
+        const auto detectionTime = ItemWatcher::BatchDelay + ItemWatcher::watchTime(applyTimeout)
+            + ItemWatcher::AnswerTime;
+        CHECK(detectionTime + ItemWatcher::FailoverTime <= applyTimeout);
     }
     CHECK(ItemWatcher::watchTime(std::chrono::seconds(9)) == ItemWatcher::LongestWatch);
     CHECK(ItemWatcher::watchTime(Duration::zero()) == ItemWatcher::ShortestWatch);
 }
 
-TEST_CASE("a watcher reads all, then asks for what came later")
+TEST_CASE("a watcher reads all items, then requests later changes")
 {
-    SourceBench bench;
-    CHECK(bench.hasAsked("/after/5"));
-    CHECK(bench.asked.front() == "/all");
-    CHECK(bench.becomes([&] { return !bench.told.empty(); }));
-    CHECK(bench.states == std::vector<SourceState> {SourceState::Reachable});
+    ItemWatcherFixture fixture;
+    CHECK(fixture.waitForRequest("/after/5"));
+    CHECK(fixture.requests.front() == "/all");
+    CHECK(fixture.waitUntil([&] { return !fixture.revisions.empty(); }));
+    CHECK(fixture.states == std::vector<SourceState> {SourceState::Reachable});
 }
 
-TEST_CASE("a watcher reads all again when the source has forgotten what came between")
+TEST_CASE("a watcher reads all items again when the source no longer has the changes")
 {
-    SourceBench bench;
-    CHECK(bench.hasAsked("/after/5"));
-    bench.asked.clear();
-    bench.status = 410;
-    CHECK(bench.hasAsked("/all"));
+    ItemWatcherFixture fixture;
+    CHECK(fixture.waitForRequest("/after/5"));
+    fixture.requests.clear();
+    fixture.status = 410;
+    CHECK(fixture.waitForRequest("/all"));
 }
 
-TEST_CASE("a paused watcher asks nothing, and goes on from what was heard elsewhere meanwhile")
+TEST_CASE("a paused watcher sends no requests and resumes from a later known revision")
 {
-    // The source's calls are limited and cost money. A daemon that others read for asks nothing;
-    // when it reads again it asks only for what it doesn't have, and says anew whether it may.
-    SourceBench bench;
-    CHECK(bench.hasAsked("/after/5"));
-    bench.watcher.pauseReading();
-    // The call that is under way ends; the answer to it is the last that is taken.
-    const std::size_t before = bench.asked.size();
-    bench.passThreePauses();
-    CHECK(bench.asked.size() <= before + 1);
-    bench.asked.clear();
-    bench.states.clear();
-    bench.revision = 90;
-    bench.watcher.resumeReading(80);
-    CHECK(bench.hasAsked("/after/80"));
-    CHECK(bench.asked.front() == "/after/80");
-    CHECK(bench.becomes([&] { return !bench.states.empty(); }));
+    // Calls to the source are rate-limited and cost money. A daemon that gets the items from
+    // readers makes no calls. When it resumes, it requests only the changes that it lacks, and
+    // reports the state of the source anew.
+    ItemWatcherFixture fixture;
+    CHECK(fixture.waitForRequest("/after/5"));
+    fixture.watcher.pauseReading();
+    // The open call completes, and no other one follows.
+    const std::size_t before = fixture.requests.size();
+    fixture.runThreeBatchDelays();
+    CHECK(fixture.requests.size() <= before + 1);
+    fixture.requests.clear();
+    fixture.states.clear();
+    fixture.revision = 90;
+    fixture.watcher.resumeReading(80);
+    CHECK(fixture.waitForRequest("/after/80"));
+    CHECK(fixture.requests.front() == "/after/80");
+    CHECK(fixture.waitUntil([&] { return !fixture.states.empty(); }));
 }
 
-TEST_CASE("a stopped watcher asks nothing more, and its end waits for nobody")
+TEST_CASE("a stopped watcher sends no more requests, and its destruction doesn't block")
 {
-    // A daemon that was asked to stop ends within its grace, though its source is slow: the
-    // watcher is stopped before, and its thread has ended when the process does.
-    SourceBench bench;
-    CHECK(bench.hasAsked("/after/5"));
-    bench.watcher.stop();
-    const std::size_t before = bench.asked.size();
-    bench.passThreePauses();
-    CHECK(bench.asked.size() <= before + 1);
+    // Guards against a daemon that outlives its grace period because its source is slow. The
+    // watcher is stopped earlier, so that its thread has ended when the process ends.
+    ItemWatcherFixture fixture;
+    CHECK(fixture.waitForRequest("/after/5"));
+    fixture.watcher.stop();
+    const std::size_t before = fixture.requests.size();
+    fixture.runThreeBatchDelays();
+    CHECK(fixture.requests.size() <= before + 1);
 }
 
-TEST_CASE("a source that refuses is told once, and its return too")
+TEST_CASE("a refusing source is reported once, and so is its return")
 {
-    SourceBench bench;
-    CHECK(bench.hasAsked("/after/5"));
-    bench.status = 503;
-    CHECK(bench.becomes([&] { return bench.states.size() == 2; }));
-    bench.status = 200;
-    CHECK(bench.becomes([&] { return bench.states.size() == 3; }));
-    CHECK(bench.states
+    ItemWatcherFixture fixture;
+    CHECK(fixture.waitForRequest("/after/5"));
+    fixture.status = 503;
+    CHECK(fixture.waitUntil([&] { return fixture.states.size() == 2; }));
+    fixture.status = 200;
+    CHECK(fixture.waitUntil([&] { return fixture.states.size() == 3; }));
+    CHECK(fixture.states
           == std::vector<SourceState> {SourceState::Reachable, SourceState::Refusing,
                                        SourceState::Reachable});
 }
--- a/packages/serving/tests/apricothook_limit_exchange_tests.cpp
+++ b/packages/serving/tests/apricothook_limit_exchange_tests.cpp
@@ -1,5 +1,5 @@
 #include "apricothook_emulated_fleet.hpp"
-#include "apricothook_state_bench.hpp"
+#include "apricothook_published_state_fixture.hpp"
 
 #include <apricothook/fleetview/apricothook_fleet_size.hpp>
 #include <apricothook/serving/apricothook_fleet_exchange.hpp>
@@ -26,7 +26,7 @@
     return bounds;
 }
 
-CustomerRule carrier()
+CustomerRule limitedCustomer()
 {
     CustomerRule rule;
     rule.name = CustomerId("carrier");
@@ -37,7 +37,7 @@
 
 class EmulatedLimitFleet;
 
-/** The parts of one daemon's process that decide about customers' limits, as they are assembled. */
+/** The components of a daemon that enforce customers' limits, wired as in the process. */
 class EmulatedLimitDaemon : public EmulatedDaemon
 {
 public:
@@ -50,32 +50,32 @@
 private:
     void tick();
     template <typename Message>
-    void takeOne(const Message &message)
+    void takeMessage(const Message &message)
     {
         m_limits.take(message);
     }
-    void takeOne(const MemberGossip &greeting) { m_exchange.take(greeting); }
-    void takeOne(const CellSummary &summary) { m_exchange.take(summary); }
-    void takeOne(const Heartbeat &) { }
-    void takeOne(const CellLoadReport &) { }
-    void takeOne(const ReaderAnnouncement &) { }
-    void takeOne(const SuspectNotice &) { }
+    void takeMessage(const MemberGossip &gossip) { m_exchange.take(gossip); }
+    void takeMessage(const CellSummary &summary) { m_exchange.take(summary); }
+    void takeMessage(const Heartbeat &) { }
+    void takeMessage(const CellLoadReport &) { }
+    void takeMessage(const ReaderAnnouncement &) { }
+    void takeMessage(const SuspectNotice &) { }
 
     EmulatedLimitFleet &m_fleet;
     EventLoop &m_loop;
-    NoWire m_wire;
-    NoLog m_log;
+    StubWireProtocol m_wire;
+    NullLog m_log;
     Metrics m_metrics;
     Gateway m_gateway;
     FleetDirectory m_directory;
     FleetExchange m_exchange;
-    FleetSize m_size;
+    FleetSize m_fleetSize;
     LimitExchange m_limits;
     std::uint64_t m_lastRequest = 0;
-    Instant m_ticked {};
+    Instant m_lastTick {};
 };
 
-/** Counts the requests of one customer that daemons admit without asking another one. */
+/** Counts the requests of one customer that daemons admit without a message to another daemon. */
 class EmulatedLimitFleet : public EmulatedFleet
 {
 public:
@@ -88,11 +88,11 @@
             m_admitted.pop_front();
         m_worst = std::max(m_worst, m_admitted.size());
     }
-    /** The largest part of the customer's bound that was admitted in any window. */
+    /** Most requests that were admitted in any window, divided by the customer's bound. */
     double worstRatio() const
     {
         const double seconds = std::chrono::duration<double>(Window).count();
-        const CustomerRule rule = carrier();
+        const CustomerRule rule = limitedCustomer();
         const double plain = rule.ratePerSecond * seconds + rule.burst;
         const FleetBounds bounds = limitBounds();
         return static_cast<double>(m_worst)
@@ -119,10 +119,10 @@
                 {memberHash(EmulatedFleet::memberOf(number)), EmulatedFleet::addressOf(number)})
     , m_directory(EmulatedFleet::memberOf(number))
     , m_exchange(loop, m_directory, *this, fleet.random, fleet.seeds())
-    , m_size(m_directory, fleet.seeds(), EmulatedFleet::addressOf(number))
-    , m_limits(loop, m_directory, m_size, *this, m_gateway, fleet.random, fleet.seeds())
+    , m_fleetSize(m_directory, fleet.seeds(), EmulatedFleet::addressOf(number))
+    , m_limits(loop, m_directory, m_fleetSize, *this, m_gateway, fleet.random, fleet.seeds())
 {
-    m_gateway.limits().setCustomers({carrier()}, loop.now());
+    m_gateway.limits().setCustomers({limitedCustomer()}, loop.now());
     m_exchange.start();
     tick();
 }
@@ -131,11 +131,11 @@
 {
     m_loop.runOnce(Time(0));
     const Instant now = m_loop.now();
-    if (now - m_ticked >= TickPause)
+    if (now - m_lastTick >= TickPause)
         tick();
     for (unsigned request = 0; request < requests; ++request) {
         const std::optional<LimitDecision> verdict
-            = m_gateway.limits().take(ExchangeId(++m_lastRequest), carrier(), {1, 0}, now);
+            = m_gateway.limits().take(ExchangeId(++m_lastRequest), limitedCustomer(), {1, 0}, now);
         if (verdict && verdict->isAdmitted)
             m_fleet.admitted();
     }
@@ -144,22 +144,22 @@
 
 void EmulatedLimitDaemon::tick()
 {
-    m_ticked = m_loop.now();
-    m_directory.review(m_ticked);
-    m_size.review(m_ticked);
+    m_lastTick = m_loop.now();
+    m_directory.review(m_lastTick);
+    m_fleetSize.review(m_lastTick);
     for (const KnownMember *member : m_directory.membersOfCell(m_directory.ownCell()))
-        send(member->info.beaconAddress, MemberGossip {ownBrief(), false, false, {}});
+        send(member->info.beaconAddress, MemberGossip {ownInfo(), false, false, {}});
     m_limits.tick();
 }
 
 void EmulatedLimitDaemon::take(const PeerDatagram &datagram)
 {
-    std::visit([this](const auto &message) { takeOne(message); }, datagram);
+    std::visit([this](const auto &message) { takeMessage(message); }, datagram);
 }
 
 } // namespace
 
-TEST_CASE("daemons that are cut off for long don't each grant a customer's whole limit")
+TEST_CASE("daemons isolated for a long time don't each grant a customer's whole limit")
 {
     for (const Time time : {Time(10'000), Time(40'000), Time(120'000)}) {
         CAPTURE(time.count());
--- a/packages/serving/tests/apricothook_state_bench.hpp
+++ b/packages/serving/tests/apricothook_published_state_fixture.hpp
@@ -10,8 +10,9 @@
 namespace Apricothook {
 
 /**
- * Items named "c" hold a generation, items named "t/ID" a state and perhaps "@" and a start or "#"
- * and a sequence; items named "e/DATACENTRE" evacuate it.
+ * Decodes items in a format for tests. Item "c" holds a generation; items "t/ID" hold a state,
+ * optionally followed by "@" and a start time or by "#" and a sequence number; items "e/DATACENTRE"
+ * evacuate the data centre.
  */
 class TestDecoder : public ItemDecoder
 {
@@ -24,10 +25,10 @@
             return ItemKind::Evacuation;
         return key.starts_with("t/") ? ItemKind::Target : ItemKind::Other;
     }
-    Result<ServingConfiguration, ItemFault> configuration(std::string_view value) const override
+    Result<ServingConfiguration, ItemError> configuration(std::string_view value) const override
     {
         if (value == "bad")
-            return ItemFault {"field"};
+            return ItemError {"field"};
         ServingConfiguration configuration;
         configuration.generation = Generation(std::stoul(std::string(value)));
         return configuration;
@@ -40,11 +41,11 @@
     {
         return DataCentreId(std::string(key.substr(2)));
     }
-    Result<TargetEntry, ItemFault> target(std::string_view key,
+    Result<TargetEntry, ItemError> target(std::string_view key,
                                           std::string_view value) const override
     {
         if (value == "bad")
-            return ItemFault {"field"};
+            return ItemError {"field"};
         TargetEntry entry;
         entry.id = targetOfKey(key);
         entry.service = ServiceId("s");
@@ -59,8 +60,8 @@
     }
 };
 
-/** The test looks at the gateway's state; no caller or target is connected. */
-class NoWire : public WireProtocol
+/** Stub for tests that connect no caller or target. */
+class StubWireProtocol : public WireProtocol
 {
 public:
     Result<RequestFields, RequestFieldsError> callerRequest(const RequestHead &) const override
@@ -79,51 +80,51 @@
     }
 };
 
-class NoLog : public LogWriter
+class NullLog : public LogWriter
 {
 public:
     void write(const LogEvent &) override { }
 };
 
-class NoRandom : public RandomSource
+class ZeroRandom : public RandomSource
 {
 public:
     std::uint64_t next() override { return 0; }
 };
 
-/** Published items in front of a gateway without callers and targets. */
-struct StateBench
+/** PublishedState with a gateway that has no connections. */
+struct PublishedStateFixture
 {
     ManualClock clock;
     EventLoop loop {clock};
-    NoWire wire;
-    NoRandom random;
-    NoLog log;
+    StubWireProtocol wire;
+    ZeroRandom random;
+    NullLog log;
     Metrics metrics;
     TestDecoder decoder;
     Gateway gateway {loop, wire, random, log, metrics, FleetBounds(), DataCentreId("d")};
     PublishedState state {loop, gateway, decoder, log};
     Revision revision = 0;
 
-    void write(const std::string &key, const std::optional<std::string> &value)
+    void publish(const std::string &key, const std::optional<std::string> &value)
     {
         ++revision;
         state.apply({{{key, value, revision}}, false, revision});
     }
-    /** This daemon is the only one that reads. */
-    void setSource(SourceState source)
+    /** Sets the state of the source as the only reader. */
+    void setSourceState(SourceState source)
     {
         state.setSourceState(source);
-        state.noteSource({state.reachesSource(), state.hasLostSource()});
+        state.recordSourceReachability({state.reachesSource(), state.hasLostSource()});
     }
-    /** Its target may get requests. */
-    bool isOffered(const std::string &target)
+    /** True if the target is known and not draining. */
+    bool isReady(const std::string &target)
     {
         const TrackedTarget *known = gateway.targets().find(TargetId(target));
         return known && !known->entry.isDraining;
     }
-    /** A cell may use slots of it. */
-    bool takesWork(const std::string &target)
+    /** True if the own cell has slots at the target. */
+    bool hasSlots(const std::string &target)
     {
         const TrackedTarget *known = gateway.targets().find(TargetId(target));
         return known && known->cellSlots > 0;
--- a/packages/serving/tests/apricothook_retry_fleet_tests.cpp
+++ b/packages/serving/tests/apricothook_retry_fleet_tests.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-enum class Harm {
+enum class Fault {
     KillOne,
     KillThird,
     KillAll,
@@ -22,9 +22,9 @@
     SplitOneWay,
     Loss,
 };
-constexpr int Harms = 11;
+constexpr int FaultKinds = 11;
 
-void killInSeries(EmulatedRetryFleet &fleet, int times)
+void killRepeatedly(EmulatedRetryFleet &fleet, int times)
 {
     for (int turn = 0; turn < times; ++turn) {
         for (std::size_t index = 0; index < fleet.daemons(); ++index)
@@ -33,7 +33,7 @@
     }
 }
 
-void play(EmulatedRetryFleet &fleet, Harm harm)
+void inject(EmulatedRetryFleet &fleet, Fault fault)
 {
     DeterministicRandom &random = fleet.random;
     const std::size_t one = random.next() % fleet.daemons();
@@ -44,40 +44,40 @@
                 act(index);
         }
     };
-    switch (harm) {
-    case Harm::KillOne:
+    switch (fault) {
+    case Fault::KillOne:
         return fleet.kill(one, time);
-    case Harm::KillThird:
+    case Fault::KillThird:
         return each(3, [&](std::size_t index) { fleet.kill(index, time); });
-    case Harm::KillAll:
+    case Fault::KillAll:
         return each(1,
                     [&](std::size_t index) { fleet.kill(index, Time(300 + random.next() % 300)); });
-    case Harm::KillInSeries:
-        return killInSeries(fleet, 2 + static_cast<int>(random.next() % 6));
-    case Harm::Freeze:
+    case Fault::KillInSeries:
+        return killRepeatedly(fleet, 2 + static_cast<int>(random.next() % 6));
+    case Fault::Freeze:
         return each(5, [&](std::size_t index) { fleet.freeze(index, time); });
-    case Harm::FreezeOthers:
+    case Fault::FreezeOthers:
         return each(1, [&](std::size_t index) {
             if (index != one)
                 fleet.freeze(index, Time(1200 + random.next() % 1500));
         });
-    case Harm::CutOff:
+    case Fault::CutOff:
         return each(3, [&](std::size_t index) { fleet.cutOff(index, time); });
-    case Harm::CutOffForMinutes:
+    case Fault::CutOffForMinutes:
         each(2, [&](std::size_t index) { fleet.cutOff(index, Time(180'000)); });
         fleet.run(Time(100'000));
         return;
-    case Harm::Split:
+    case Fault::Split:
         return fleet.split(one, time, false);
-    case Harm::SplitOneWay:
+    case Fault::SplitOneWay:
         return fleet.split(one, time, true);
-    case Harm::Loss:
-        fleet.lostOfThousand = 5 + random.next() % 100;
+    case Fault::Loss:
+        fleet.lossPerThousand = 5 + random.next() % 100;
         return;
     }
 }
 
-std::uint64_t seedsToPlay()
+std::uint64_t seedCount()
 {
     constexpr std::uint64_t InCi = 20;
     const char *wanted = std::getenv("RETRY_SEEDS");
@@ -86,27 +86,27 @@
 
 } // namespace
 
-TEST_CASE("daemons that have just started don't each take the fleet's slack for repeated sends")
+TEST_CASE("daemons that have just started don't each use the fleet's whole retry slack")
 {
     EmulatedRetryFleet fleet(30, 1);
     fleet.requestsPerSecond = 30;
     fleet.run(Time(20'000));
-    killInSeries(fleet, 1);
+    killRepeatedly(fleet, 1);
     fleet.run(Time(10'000));
     CHECK(fleet.worstRatio() <= 1);
 }
 
-TEST_CASE("kills in series don't renew the slack for repeated sends")
+TEST_CASE("a series of kills doesn't renew the retry slack")
 {
     EmulatedRetryFleet fleet(8, 1);
     fleet.requestsPerSecond = 10;
     fleet.run(Time(20'000));
-    killInSeries(fleet, 8);
+    killRepeatedly(fleet, 8);
     fleet.run(Time(10'000));
     CHECK(fleet.worstRatio() <= 1);
 }
 
-TEST_CASE("daemons that hear nobody don't each take the fleet's slack for repeated sends")
+TEST_CASE("isolated daemons don't each use the fleet's whole retry slack")
 {
     for (const Time time : {Time(8'000), Time(20'000), Time(100'000)}) {
         CAPTURE(time.count());
@@ -120,18 +120,18 @@
     }
 }
 
-TEST_CASE("repeated sends keep to the fleet's budget whatever dies, freezes, is lost or cut off")
+TEST_CASE("retries stay within the fleet's budget under kills, freezes, loss and partitions")
 {
-    // RETRY_SEEDS plays more.
+    // The environment variable RETRY_SEEDS sets the number of seeds.
     double worst = 0;
-    for (std::uint64_t seed = 1; seed <= seedsToPlay(); ++seed) {
+    for (std::uint64_t seed = 1; seed <= seedCount(); ++seed) {
         DeterministicRandom draw(seed);
         const std::size_t daemons = 1 + draw.next() % 40;
         EmulatedRetryFleet fleet(daemons, seed);
         fleet.run(Time(3000));
         for (int turn = 0; turn < 12; ++turn) {
             fleet.requestsPerSecond = 1 + draw.next() % 60;
-            play(fleet, static_cast<Harm>(draw.next() % Harms));
+            inject(fleet, static_cast<Fault>(draw.next() % FaultKinds));
             fleet.run(Time(draw.next() % 6000));
         }
         fleet.run(Time(10'000));
@@ -143,11 +143,11 @@
     MESSAGE("worst ratio to the budget " << worst);
 }
 
-TEST_CASE("a calm fleet uses most of its budget for repeated sends")
+TEST_CASE("a fleet without faults uses most of its retry budget")
 {
     EmulatedRetryFleet fleet(8, 1);
     fleet.requestsPerSecond = 20;
     fleet.run(Time(60'000));
     CHECK(fleet.worstRatio() <= 1);
-    CHECK(fleet.repeatedPart() >= EmulatedRetryFleet::Ratio / 2);
+    CHECK(fleet.retriesPerRequest() >= EmulatedRetryFleet::Ratio / 2);
 }
--- a/packages/serving/tests/apricothook_revision_follower_tests.cpp
+++ b/packages/serving/tests/apricothook_revision_follower_tests.cpp
@@ -1,8 +1,8 @@
-#include "apricothook_state_bench.hpp"
+#include "apricothook_published_state_fixture.hpp"
 
 #include <apricothook/fleetview/apricothook_peer_item_protocol.hpp>
 #include <apricothook/serving/apricothook_revision_follower.hpp>
-#include <apricothook/serving/apricothook_small_http_server.hpp>
+#include <apricothook/serving/apricothook_simple_http_server.hpp>
 
 #include <doctest/doctest.h>
 
@@ -10,37 +10,37 @@
 
 namespace {
 
-/** A daemon that hears nothing from its source, and a peer that has all. */
-struct FollowerBench : StateBench
+/** A daemon whose source delivers nothing, and a peer that has all items. */
+struct RevisionFollowerFixture : PublishedStateFixture
 {
     ItemReplica peer {[](const ItemChange &) { return true; }};
-    std::unique_ptr<SmallHttpServer> server
-        = SmallHttpServer::open(loop, {"127.0.0.1", 0}, [this](const RequestHead &request) {
-              ++asked;
-              SmallAnswer answer;
-              if (isBroken)
-                  answer.status = 500;
+    std::unique_ptr<SimpleHttpServer> server
+        = SimpleHttpServer::open(loop, {"127.0.0.1", 0}, [this](const RequestHead &request) {
+              ++requests;
+              SimpleHttpResponse response;
+              if (isFailing)
+                  response.status = 500;
               else
-                  answer.body = writeItemUpdate(peer.since(*requestedRevision(request.target)));
-              return answer;
+                  response.body = writeItemUpdate(peer.since(*requestedRevision(request.target)));
+              return response;
           }).value();
     RevisionFollower follower {loop, state, log};
-    bool isBroken = false;
-    int asked = 0;
+    bool isFailing = false;
+    int requests = 0;
 
-    MemberInfo brief() const
+    MemberInfo info() const
     {
-        MemberInfo brief;
-        brief.member = MemberId("peer");
-        brief.itemAddress = {"127.0.0.1", server->port()};
-        return brief;
+        MemberInfo info;
+        info.member = MemberId("peer");
+        info.itemAddress = {"127.0.0.1", server->port()};
+        return info;
     }
-    void hear() { follower.note(brief(), peer.revision()); }
-    /** Lets the loop and the fetcher work until it is so; no verdict depends on the limit. */
-    bool becomes(const std::function<bool()> &isTrue)
+    void reportPeerRevision() { follower.recordPeerRevision(info(), peer.revision()); }
+    /** Runs the loop until `isTrue` holds. The limit only ends a failing test. */
+    bool waitUntil(const std::function<bool()> &isTrue)
     {
-        constexpr int MostRounds = 5000;
-        for (int round = 0; round < MostRounds && !isTrue(); ++round)
+        constexpr int MaximumRounds = 5000;
+        for (int round = 0; round < MaximumRounds && !isTrue(); ++round)
             loop.runOnce(std::chrono::milliseconds(1));
         return isTrue();
     }
@@ -48,55 +48,56 @@
 
 } // namespace
 
-TEST_CASE("a daemon that its source turns away gets a configuration from a peer")
+TEST_CASE("a daemon that its source refuses gets a configuration from a peer")
 {
-    // Callers are served by the new configuration on every daemon. The source answers others but
-    // not this one; a peer's beacon shows a later revision, and after a moment the peer is asked.
-    FollowerBench bench;
-    bench.write("c", "1");
-    bench.peer.apply({{{"c", "2", 7}}, true, 7});
-    bench.hear();
-    CHECK(bench.asked == 0);
-    bench.pass(RevisionFollower::OwnSourceTime);
-    bench.hear();
-    CHECK(bench.becomes([&] { return bench.state.replica().revision() == 7; }));
-    CHECK(bench.asked == 1);
+    // Guards against an outdated configuration on a daemon that the source refuses while it serves
+    // others. A peer's heartbeat shows a later revision, and the peer is queried after
+    // OwnSourceTimeout.
+    RevisionFollowerFixture fixture;
+    fixture.publish("c", "1");
+    fixture.peer.apply({{{"c", "2", 7}}, true, 7});
+    fixture.reportPeerRevision();
+    CHECK(fixture.requests == 0);
+    fixture.pass(RevisionFollower::OwnSourceTimeout);
+    fixture.reportPeerRevision();
+    CHECK(fixture.waitUntil([&] { return fixture.state.replica().revision() == 7; }));
+    CHECK(fixture.requests == 1);
 }
 
-TEST_CASE("a peer that answers with nonsense leaves the next one to be asked")
+TEST_CASE("an invalid response from a peer doesn't prevent the next fetch")
 {
-    FollowerBench bench;
-    bench.write("c", "1");
-    bench.peer.apply({{{"c", "2", 7}}, true, 7});
-    bench.isBroken = true;
-    bench.hear();
-    bench.pass(RevisionFollower::OwnSourceTime);
-    bench.hear();
-    CHECK(bench.becomes([&] { return bench.asked == 1; }));
-    bench.isBroken = false;
-    CHECK(bench.becomes([&] {
-        bench.clock.advance(std::chrono::milliseconds(10));
-        bench.hear();
-        return bench.state.replica().revision() == 7;
+    RevisionFollowerFixture fixture;
+    fixture.publish("c", "1");
+    fixture.peer.apply({{{"c", "2", 7}}, true, 7});
+    fixture.isFailing = true;
+    fixture.reportPeerRevision();
+    fixture.pass(RevisionFollower::OwnSourceTimeout);
+    fixture.reportPeerRevision();
+    CHECK(fixture.waitUntil([&] { return fixture.requests == 1; }));
+    fixture.isFailing = false;
+    CHECK(fixture.waitUntil([&] {
+        fixture.clock.advance(std::chrono::milliseconds(10));
+        fixture.reportPeerRevision();
+        return fixture.state.replica().revision() == 7;
     }));
 }
 
-TEST_CASE("a daemon whose peers don't give what they have is stuck until it has it")
+TEST_CASE("a daemon is stuck while its peers don't deliver a later revision")
 {
-    // Callers are served by the new configuration though the reader of the cell can't pass it on:
-    // its link is too small for a dozen daemons that ask for thousands of entries. Who is stuck
-    // reads at the source.
-    FollowerBench bench;
-    bench.follower.setReads(false);
-    bench.write("c", "1");
-    bench.peer.apply({{{"c", "2", 7}}, true, 7});
-    bench.isBroken = true;
-    bench.hear();
-    CHECK(bench.becomes([&] { return bench.asked == 1; }));
-    CHECK_FALSE(bench.follower.isStuck());
-    bench.pass(RevisionFollower::PeerTime + std::chrono::milliseconds(1));
-    bench.hear();
-    CHECK(bench.follower.isStuck());
-    bench.state.apply(bench.peer.since(1));
-    CHECK_FALSE(bench.follower.isStuck());
+    // Guards against an outdated configuration when the reader of the cell can't pass it on, as its
+    // link is too small for a dozen daemons that request thousands of entries. A daemon that is
+    // stuck reads at the source itself.
+    RevisionFollowerFixture fixture;
+    fixture.follower.setReadsSource(false);
+    fixture.publish("c", "1");
+    fixture.peer.apply({{{"c", "2", 7}}, true, 7});
+    fixture.isFailing = true;
+    fixture.reportPeerRevision();
+    CHECK(fixture.waitUntil([&] { return fixture.requests == 1; }));
+    CHECK_FALSE(fixture.follower.isStuck());
+    fixture.pass(RevisionFollower::PeerTimeout + std::chrono::milliseconds(1));
+    fixture.reportPeerRevision();
+    CHECK(fixture.follower.isStuck());
+    fixture.state.apply(fixture.peer.since(1));
+    CHECK_FALSE(fixture.follower.isStuck());
 }
--- a/packages/serving/tests/apricothook_small_http_server_tests.cpp
+++ b/packages/serving/tests/apricothook_simple_http_server_tests.cpp
@@ -1,4 +1,4 @@
-#include <apricothook/serving/apricothook_small_http_server.hpp>
+#include <apricothook/serving/apricothook_simple_http_server.hpp>
 
 #include <apricothook/testsupport/apricothook_manual_clock.hpp>
 
@@ -25,27 +25,27 @@
 
 } // namespace
 
-TEST_CASE("a server that ends together with a connection leaves nothing that uses it")
+TEST_CASE("a connection that is destroyed after its server doesn't use the server")
 {
-    // Nobody sees the crash at the end of a process but its exit status. A connection that has
-    // just ended is destroyed by the loop, after the server.
+    // Guards against a crash at the end of a process, which only its exit status shows. The loop
+    // destroys a connection that has just ended after the server is gone.
     ManualClock clock;
     EventLoop loop {clock};
-    int asked = 0;
-    std::unique_ptr<SmallHttpServer> server
-        = SmallHttpServer::open(loop, {"127.0.0.1", 0}, [&](const RequestHead &) {
-              ++asked;
-              return SmallAnswer {200, "text/plain", "x"};
+    int requests = 0;
+    std::unique_ptr<SimpleHttpServer> server
+        = SimpleHttpServer::open(loop, {"127.0.0.1", 0}, [&](const RequestHead &) {
+              ++requests;
+              return SimpleHttpResponse {200, "text/plain", "x"};
           }).value();
     const int caller = connectTo(server->port());
-    const std::string_view question = "GET / HTTP/1.1\r\nHost: a\r\n\r\n";
-    REQUIRE(send(caller, question.data(), question.size(), 0)
-            == static_cast<ssize_t>(question.size()));
-    while (asked == 0)
+    const std::string_view request = "GET / HTTP/1.1\r\nHost: a\r\n\r\n";
+    REQUIRE(send(caller, request.data(), request.size(), 0)
+            == static_cast<ssize_t>(request.size()));
+    while (requests == 0)
         loop.runOnce(std::chrono::milliseconds(100));
     close(caller);
     loop.runOnce(std::chrono::milliseconds(100));
     server.reset();
     loop.runOnce(std::chrono::milliseconds(0));
-    CHECK(asked == 1);
+    CHECK(requests == 1);
 }
--- a/packages/serving/tests/apricothook_suspect_exchange_tests.cpp
+++ b/packages/serving/tests/apricothook_suspect_exchange_tests.cpp
@@ -1,5 +1,5 @@
 #include "apricothook_emulated_fleet.hpp"
-#include "apricothook_state_bench.hpp"
+#include "apricothook_published_state_fixture.hpp"
 
 #include <apricothook/serving/apricothook_fleet_exchange.hpp>
 #include <apricothook/serving/apricothook_suspect_exchange.hpp>
@@ -11,11 +11,11 @@
 
 namespace {
 
-const Fingerprint Poison(666);
-const Fingerprint Innocent(1);
-const Fingerprint Another(2);
+const Fingerprint CrashingRequest(666);
+const Fingerprint HarmlessRequest(1);
+const Fingerprint OtherRequest(2);
 
-/** The parts of one daemon's process that decide about suspects, as they are assembled. */
+/** The components of a daemon that decide about suspect requests, wired as in the process. */
 class EmulatedSuspectDaemon : public EmulatedDaemon
 {
 public:
@@ -33,17 +33,17 @@
     void step(unsigned) override
     {
         m_loop.runOnce(Time(0));
-        if (m_loop.now() - m_told < Time(200))
+        if (m_loop.now() - m_lastTick < Time(200))
             return;
-        m_told = m_loop.now();
-        m_directory.review(m_told);
+        m_lastTick = m_loop.now();
+        m_directory.review(m_lastTick);
         for (const KnownMember *member : m_directory.membersOfCell(m_directory.ownCell()))
-            send(member->info.beaconAddress, MemberGossip {ownBrief(), false, false, {}});
+            send(member->info.beaconAddress, MemberGossip {ownInfo(), false, false, {}});
     }
     void take(const PeerDatagram &datagram) override
     {
-        if (const auto *greeting = std::get_if<MemberGossip>(&datagram))
-            m_exchange.take(*greeting);
+        if (const auto *gossip = std::get_if<MemberGossip>(&datagram))
+            m_exchange.take(*gossip);
         else if (const auto *notice = std::get_if<SuspectNotice>(&datagram))
             m_suspects.take(*notice);
     }
@@ -51,11 +51,11 @@
 
 private:
     EventLoop &m_loop;
-    NoLog m_log;
+    NullLog m_log;
     FleetDirectory m_directory;
     FleetExchange m_exchange;
     SuspectExchange m_suspects;
-    Instant m_told {};
+    Instant m_lastTick {};
 };
 
 class EmulatedSuspectFleet : public EmulatedFleet
@@ -63,7 +63,7 @@
 public:
     explicit EmulatedSuspectFleet(std::size_t daemons) : EmulatedFleet(daemons, 1)
     {
-        lostOfThousand = 0;
+        lossPerThousand = 0;
         startAll();
         run(Time(3000));
     }
@@ -90,37 +90,37 @@
 
 } // namespace
 
-TEST_CASE("a request that crashes targets through several daemons is refused by the fleet")
+TEST_CASE("a request that crashes targets of several daemons is quarantined by the fleet")
 {
     EmulatedSuspectFleet fleet(8);
-    fleet.suspectsOf(0).recordCrash(TargetId("t1"), {Poison, Innocent});
+    fleet.suspectsOf(0).recordCrash(TargetId("t1"), {CrashingRequest, HarmlessRequest});
     fleet.run(Time(500));
-    CHECK(fleet.quarantinedAt(Poison) == 0);
-    fleet.suspectsOf(5).recordCrash(TargetId("t2"), {Poison, Another});
+    CHECK(fleet.quarantinedAt(CrashingRequest) == 0);
+    fleet.suspectsOf(5).recordCrash(TargetId("t2"), {CrashingRequest, OtherRequest});
     fleet.run(Time(500));
-    CHECK(fleet.quarantinedAt(Poison) >= 7);
-    CHECK(fleet.quarantinedAt(Innocent) == 0);
-    CHECK(fleet.quarantinedAt(Another) == 0);
+    CHECK(fleet.quarantinedAt(CrashingRequest) >= 7);
+    CHECK(fleet.quarantinedAt(HarmlessRequest) == 0);
+    CHECK(fleet.quarantinedAt(OtherRequest) == 0);
 }
 
-TEST_CASE("a request of many callers isn't refused for crashes that it didn't cause")
+TEST_CASE("a common request isn't quarantined for crashes that it didn't cause")
 {
-    // Targets crash for reasons of their own, and each ran one of these requests.
+    // Targets crash for unrelated reasons while each of them runs one of the identical requests.
     EmulatedSuspectFleet fleet(8);
     for (std::size_t number = 0; number < fleet.daemons(); ++number)
-        fleet.suspectsOf(number).recordAnswer(Innocent);
-    fleet.suspectsOf(0).recordCrash(TargetId("t1"), {Innocent});
-    fleet.suspectsOf(1).recordCrash(TargetId("t2"), {Innocent});
+        fleet.suspectsOf(number).recordAnswer(HarmlessRequest);
+    fleet.suspectsOf(0).recordCrash(TargetId("t1"), {HarmlessRequest});
+    fleet.suspectsOf(1).recordCrash(TargetId("t2"), {HarmlessRequest});
     fleet.run(Time(500));
-    CHECK(fleet.quarantinedAt(Innocent) == 0);
+    CHECK(fleet.quarantinedAt(HarmlessRequest) == 0);
 }
 
-TEST_CASE("a daemon that has answered a request clears it at those that suspect it")
+TEST_CASE("a daemon that has seen a request answered clears it at the daemons that suspect it")
 {
     EmulatedSuspectFleet fleet(8);
-    fleet.suspectsOf(7).recordAnswer(Innocent);
-    fleet.suspectsOf(0).recordCrash(TargetId("t1"), {Innocent});
-    fleet.suspectsOf(1).recordCrash(TargetId("t2"), {Innocent});
+    fleet.suspectsOf(7).recordAnswer(HarmlessRequest);
+    fleet.suspectsOf(0).recordCrash(TargetId("t1"), {HarmlessRequest});
+    fleet.suspectsOf(1).recordCrash(TargetId("t2"), {HarmlessRequest});
     fleet.run(Time(500));
-    CHECK(fleet.quarantinedAt(Innocent) == 0);
+    CHECK(fleet.quarantinedAt(HarmlessRequest) == 0);
 }
