--- a/packages/serving/apricothook/serving/apricothook_published_state.hpp
+++ b/packages/serving/apricothook/serving/apricothook_published_state.hpp
@@ -26,8 +26,8 @@
 public:
     /**
      * How long the draining state of a target is remembered. A delayed write and a target's drain
-     * take some seconds each; this is ten times as long, and only a few targets of a fleet leave
-     * per minute.
+     * take some seconds each; this is ten times as long. Few targets of a fleet leave per minute,
+     * so there are few records.
      */
     static constexpr std::chrono::seconds DrainRecordLifetime {60};
 
--- a/packages/serving/tests/apricothook_cold_fleet_tests.cpp
+++ b/packages/serving/tests/apricothook_cold_fleet_tests.cpp
@@ -102,8 +102,9 @@
 
 TEST_CASE("targets of a returning data centre serve most of their capacity while cold")
 {
-    // Guards against cold targets that stay idle for seconds. Callers request a third of the
-    // capacity, and each daemon must send to the cold targets assigned to it at once.
+    // Guards against cold targets that stay idle for seconds, in which callers lack the third of
+    // the capacity that a data centre has. Each daemon must send to the cold targets assigned to it
+    // at once.
     EmulatedColdFleet fleet(30, 30, 7);
     fleet.requestsPerSecond = 10;
     fleet.run(Time(5000));
--- a/packages/serving/tests/apricothook_emulated_fleet.cpp
+++ b/packages/serving/tests/apricothook_emulated_fleet.cpp
@@ -122,12 +122,12 @@
 {
     const auto due
         = std::stable_partition(m_inFlight.begin(), m_inFlight.end(),
-                                [this](const DatagramInFlight &way) { return way.due > m_now; });
+                                [this](const DatagramInFlight &sent) { return sent.due > m_now; });
     const std::vector<DatagramInFlight> arrived(due, m_inFlight.end());
     m_inFlight.erase(due, m_inFlight.end());
-    for (const DatagramInFlight &way : arrived) {
-        if (m_daemons[way.to].process)
-            m_daemons[way.to].inbox.push_back(way.datagram);
+    for (const DatagramInFlight &sent : arrived) {
+        if (m_daemons[sent.to].process)
+            m_daemons[sent.to].inbox.push_back(sent.datagram);
     }
 }
 
--- a/packages/serving/tests/apricothook_emulated_fleet.hpp
+++ b/packages/serving/tests/apricothook_emulated_fleet.hpp
@@ -72,8 +72,8 @@
     void freeze(std::size_t daemon, Time time);
     /** Isolates the daemon from the other daemons and from published changes. */
     void cutOff(std::size_t daemon, Time time);
-    /** Partitions the daemons below `first` from the others; if `oneWay`, only datagrams from the
-     * lower ones arrive. */
+    /** Drops datagrams from the daemons below `first` to the others and, unless `oneWay`, those in
+     * the other direction. */
     void split(std::size_t first, Time time, bool oneWay);
 
     DeterministicRandom random;
