--- a/packages/fleetview/apricothook/fleetview/apricothook_blocking_http_client.cpp
+++ b/packages/fleetview/apricothook/fleetview/apricothook_blocking_http_client.cpp
@@ -17,13 +17,13 @@
 std::size_t appendBody(char *bytes, std::size_t size, std::size_t count, void *body)
 {
     auto *text = static_cast<std::string *>(body);
-    if (text->size() + size * count > BlockingHttpClient::LargestAnswer)
+    if (text->size() + size * count > BlockingHttpClient::LargestResponse)
         return 0;
     text->append(bytes, size * count);
     return size * count;
 }
 
-int stopWanted(void *stopping, curl_off_t, curl_off_t, curl_off_t, curl_off_t)
+int isStopRequested(void *stopping, curl_off_t, curl_off_t, curl_off_t, curl_off_t)
 {
     return static_cast<const std::atomic<bool> *>(stopping)->load() ? 1 : 0;
 }
@@ -31,7 +31,7 @@
 } // namespace
 
 BlockingHttpClient::BlockingHttpClient(const Endpoint &server,
-                                       std::chrono::milliseconds connectTime,
+                                       std::chrono::milliseconds connectTimeout,
                                        const std::atomic<bool> &stopping)
     : m_origin("http://" + server.text())
     , m_stopping(stopping)
@@ -40,9 +40,10 @@
     curl_easy_setopt(m_handle, CURLOPT_NOSIGNAL, 1L);
     curl_easy_setopt(m_handle, CURLOPT_TCP_NODELAY, 1L);
     curl_easy_setopt(m_handle, CURLOPT_PROXY, "");
-    curl_easy_setopt(m_handle, CURLOPT_CONNECTTIMEOUT_MS, static_cast<long>(connectTime.count()));
+    curl_easy_setopt(m_handle, CURLOPT_CONNECTTIMEOUT_MS,
+                     static_cast<long>(connectTimeout.count()));
     curl_easy_setopt(m_handle, CURLOPT_WRITEFUNCTION, appendBody);
-    curl_easy_setopt(m_handle, CURLOPT_XFERINFOFUNCTION, stopWanted);
+    curl_easy_setopt(m_handle, CURLOPT_XFERINFOFUNCTION, isStopRequested);
     curl_easy_setopt(m_handle, CURLOPT_XFERINFODATA, const_cast<std::atomic<bool> *>(&m_stopping));
     curl_easy_setopt(m_handle, CURLOPT_NOPROGRESS, 0L);
 }
@@ -53,19 +54,19 @@
 }
 
 std::optional<SourceAnswer> BlockingHttpClient::get(const std::string &path,
-                                                    std::chrono::milliseconds time)
+                                                    std::chrono::milliseconds timeout)
 {
-    SourceAnswer answer;
+    SourceAnswer response;
     const std::string url = m_origin + path;
     curl_easy_setopt(m_handle, CURLOPT_URL, url.c_str());
-    curl_easy_setopt(m_handle, CURLOPT_TIMEOUT_MS, static_cast<long>(time.count()));
-    curl_easy_setopt(m_handle, CURLOPT_WRITEDATA, &answer.body);
+    curl_easy_setopt(m_handle, CURLOPT_TIMEOUT_MS, static_cast<long>(timeout.count()));
+    curl_easy_setopt(m_handle, CURLOPT_WRITEDATA, &response.body);
     if (curl_easy_perform(m_handle) != CURLE_OK)
         return std::nullopt;
     long status = 0;
     curl_easy_getinfo(m_handle, CURLINFO_RESPONSE_CODE, &status);
-    answer.status = static_cast<unsigned>(status);
-    return answer;
+    response.status = static_cast<unsigned>(status);
+    return response;
 }
 
 } // namespace Apricothook
--- a/packages/fleetview/apricothook/fleetview/apricothook_blocking_http_client.hpp
+++ b/packages/fleetview/apricothook/fleetview/apricothook_blocking_http_client.hpp
@@ -9,22 +9,22 @@
 
 namespace Apricothook {
 
-/** GET requests to one server, one at a time, on a kept connection; for one thread. */
+/** Sends GET requests to one server over a persistent connection. Not thread-safe. */
 class BlockingHttpClient
 {
 public:
-    /** Largest answer; a page of items is about a megabyte. */
-    static constexpr std::size_t LargestAnswer = 16 << 20;
+    /** Largest accepted response body; a page of items is about a megabyte. */
+    static constexpr std::size_t LargestResponse = 16 << 20;
 
-    /** A call ends early when `stopping` becomes true. */
-    BlockingHttpClient(const Endpoint &server, std::chrono::milliseconds connectTime,
+    /** Requests in progress are aborted when `stopping` becomes true. */
+    BlockingHttpClient(const Endpoint &server, std::chrono::milliseconds connectTimeout,
                        const std::atomic<bool> &stopping);
     ~BlockingHttpClient();
     BlockingHttpClient(const BlockingHttpClient &) = delete;
     BlockingHttpClient &operator=(const BlockingHttpClient &) = delete;
 
-    /** Nothing when no whole answer came in time. */
-    std::optional<SourceAnswer> get(const std::string &path, std::chrono::milliseconds time);
+    /** Returns nothing if no complete response arrived in time. */
+    std::optional<SourceAnswer> get(const std::string &path, std::chrono::milliseconds timeout);
 
 private:
     const std::string m_origin;
--- a/packages/fleetview/apricothook/fleetview/apricothook_cell_load_report.hpp
+++ b/packages/fleetview/apricothook/fleetview/apricothook_cell_load_report.hpp
@@ -7,10 +7,10 @@
 
 namespace Apricothook {
 
-/** A target's running requests at the sender. */
+/** Number of requests that the sender is running at a target. */
 struct ReportedLoad
 {
-    std::uint64_t target = 0; ///< targetHash() of the start.
+    std::uint64_t target = 0; ///< targetHash() of the target's start.
     std::uint32_t running = 0;
 
     template <typename Archive, typename Self>
@@ -21,10 +21,10 @@
     auto operator<=>(const ReportedLoad &) const = default;
 };
 
-/** Requests of one rank that wait at the sender. */
+/** Number of requests of one rank that are queued at the sender. */
 struct ReportedWaiting
 {
-    std::uint64_t service = 0; ///< serviceHash() of the name.
+    std::uint64_t service = 0; ///< serviceHash() of the service's name.
     Tier customerTier;
     Tier routeTier;
     std::uint32_t waiting = 0;
@@ -38,15 +38,15 @@
 };
 
 /**
- * What a daemon does now, told to its cell. Loads and waiting requests are always whole, so a lost
- * report costs only time.
+ * Current load and queue of a daemon, sent to its cell. A report always contains the complete
+ * state, so that a lost report only delays the next update.
  */
 struct CellLoadReport
 {
     /** memberHash() of the sender. */
     std::uint64_t member = 0;
     Incarnation process;
-    /** Grows with each report of the process; late ones are dropped by it. */
+    /** Increases with each report of the process, so that reordered reports can be dropped. */
     std::uint64_t sequence = 0;
     std::vector<ReportedLoad> loads;
     std::vector<ReportedWaiting> waiting;
@@ -59,7 +59,7 @@
     auto operator<=>(const CellLoadReport &) const = default;
 };
 
-/** A short name of a member for messages between daemons. */
+/** Hash of a member's name that identifies it in messages between daemons. */
 std::uint64_t memberHash(const MemberId &member);
 
 } // namespace Apricothook
--- a/packages/fleetview/apricothook/fleetview/apricothook_cold_view_tracker.cpp
+++ b/packages/fleetview/apricothook/fleetview/apricothook_cold_view_tracker.cpp
@@ -8,15 +8,15 @@
 namespace Apricothook {
 
 ColdViewTracker::ColdViewTracker(const FleetDirectory &directory, std::vector<Endpoint> seeds,
-                                 Endpoint own, Duration entryPause)
+                                 Endpoint own, Duration entryInterval)
     : m_directory(directory)
     , m_seeds(std::move(seeds))
     , m_own(std::move(own))
-    , m_entryPause(entryPause)
+    , m_entryInterval(entryInterval)
 {
 }
 
-ColdTargetSenders ColdViewTracker::review(const ItemReach &items, Instant now)
+ColdTargetSenders ColdViewTracker::review(const ItemReachability &items, Instant now)
 {
     ColdTargetSenders fleet {{memberHash(m_directory.self())}, ColdView::Alone};
     for (const auto &[id, member] : m_directory.members()) {
@@ -24,51 +24,51 @@
             fleet.members.push_back(memberHash(id));
     }
     std::ranges::sort(fleet.members);
-    noteMembers(fleet.members, now);
+    updateMembers(fleet.members, now);
     fleet.view = view(items, now);
     return fleet;
 }
 
-void ColdViewTracker::noteMembers(const std::vector<std::uint64_t> &members, Instant now)
+void ColdViewTracker::updateMembers(const std::vector<std::uint64_t> &members, Instant now)
 {
     if (!std::ranges::includes(m_members, members))
-        m_nameAdded = now;
+        m_lastMemberAdded = now;
     m_members = members;
 }
 
-ColdView ColdViewTracker::view(const ItemReach &items, Instant now)
+ColdView ColdViewTracker::view(const ItemReachability &items, Instant now)
 {
     const bool isFirst = !m_started;
     m_started = m_started.value_or(now);
-    const bool stoodStill = now - std::exchange(m_reviewed, now) > PauseThreshold;
-    const bool isMain = isMainPart(now);
-    if (!isFirst && (stoodStill || !(isMain || items.byAnybody)))
-        m_doubtUntil = now + CatchUpTime;
+    const bool wasPaused = now - std::exchange(m_lastReview, now) > PauseThreshold;
+    const bool isMain = isMainPartition(now);
+    if (!isFirst && (wasPaused || !(isMain || items.anyReachable)))
+        m_doubtfulUntil = now + CatchUpTime;
     if (!m_directory.hasDiscoveredFleet(m_seeds, m_own, now))
         return ColdView::Alone;
-    if (now < m_doubtUntil || mayHaveStaleEntries(items.byOwnReading, now))
+    if (now < m_doubtfulUntil || mayHaveStaleEntries(items.ownReachable, now))
         return ColdView::Doubtful;
-    const bool isSettled = now - m_nameAdded >= NameTime;
+    const bool isSettled = now - m_lastMemberAdded >= MembershipSettlingTime;
     return isMain && isSettled ? ColdView::Main : ColdView::Outside;
 }
 
-bool ColdViewTracker::mayHaveStaleEntries(bool ownReaches, Instant now) const
+bool ColdViewTracker::mayHaveStaleEntries(bool readsAtSource, Instant now) const
 {
-    const Duration way = ownReaches ? OwnReadingTime : OthersReadingTime;
-    return !m_started || now - *m_started <= m_entryPause + way;
+    const Duration latency = readsAtSource ? DirectReadLatency : RelayedReadLatency;
+    return !m_started || now - *m_started <= m_entryInterval + latency;
 }
 
-bool ColdViewTracker::isMainPart(Instant now) const
+bool ColdViewTracker::isMainPartition(Instant now) const
 {
-    std::size_t remembered = 1;
+    std::size_t known = 1;
     std::size_t live = 1;
     for (const auto &[id, member] : m_directory.members()) {
         if (member.info.isLeaving)
             continue;
-        ++remembered;
+        ++known;
         live += m_directory.isLive(member, now) ? 1 : 0;
     }
-    return m_directory.reachesSeedMajority(m_seeds, m_own, now) && 2 * live > remembered;
+    return m_directory.reachesSeedMajority(m_seeds, m_own, now) && 2 * live > known;
 }
 
 } // namespace Apricothook
--- a/packages/fleetview/apricothook/fleetview/apricothook_cold_view_tracker.hpp
+++ b/packages/fleetview/apricothook/fleetview/apricothook_cold_view_tracker.hpp
@@ -5,70 +5,83 @@
 
 namespace Apricothook {
 
-/** How what is published reaches this daemon. */
-struct ItemReach
+/** Paths on which published items currently reach this daemon. */
+struct ItemReachability
 {
-    bool byOwnReading = false;
-    /** By its own reading or another's. */
-    bool byAnybody = false;
+    bool ownReachable = false;
+    /** This daemon or any other daemon that it hears reads at the source. */
+    bool anyReachable = false;
 
-    auto operator<=>(const ItemReach &) const = default;
+    auto operator<=>(const ItemReachability &) const = default;
 };
 
 /**
- * Judges what this daemon may rely on where targets may be cold.
+ * Determines how far this daemon may trust its view of the fleet when it sends to targets that may
+ * be cold.
  *
- * Whoever was cut off, or stood still, believes for a moment what was true before: an evacuation
- * may have begun and ended meanwhile, and its targets turned cold. One that has just started may
- * have read entries of before such an end, which no listing shows. Until what was missed must have
- * come, such a daemon takes all targets for cold.
+ * After a network partition or a pause of its process, a daemon briefly acts on outdated state: in
+ * the meantime an evacuation may have begun and ended, which leaves its targets cold. A daemon that
+ * has just started may have read target entries from before the end of an evacuation, and the
+ * listing doesn't show this. Such a daemon treats all targets as cold until it must have received
+ * the updates that it missed.
  *
- * When parts of a fleet find each other again, names come one after the other, and one daemon after
- * the other would take itself for a target's sender. While new names come none does.
+ * When a partition heals, members are discovered one after the other, and one daemon after the
+ * other would consider itself the sender to the same target. Therefore no daemon does so while new
+ * members are being discovered.
  */
 class ColdViewTracker
 {
 public:
-    /** What was missed has come by then, from peers or by own reading. */
+    /** Time within which missed items arrive, from peers or from the source. */
     static constexpr std::chrono::milliseconds CatchUpTime {2000};
-    /** Between two reviews this daemon has stood still. */
+    /** A longer time between two reviews means that this process was paused. */
     static constexpr std::chrono::milliseconds PauseThreshold {1000};
-    /** After a new name the senders stay as they are for as long as any bound's window lasts. */
-    static constexpr std::chrono::milliseconds NameTime {1000};
-    /** What a target writes has come by then, to one that reads at the source and to others. */
-    static constexpr std::chrono::milliseconds OwnReadingTime {300};
-    static constexpr std::chrono::milliseconds OthersReadingTime {1500};
+    /**
+     * Time without new members after which this daemon may become a target's sender. As long as the
+     * window of any bound.
+     */
+    static constexpr std::chrono::milliseconds MembershipSettlingTime {1000};
+    /** Time within which a target's write arrives at a daemon that reads at the source. */
+    static constexpr std::chrono::milliseconds DirectReadLatency {300};
+    /** Time within which a target's write arrives at a daemon that gets items from its peers. */
+    static constexpr std::chrono::milliseconds RelayedReadLatency {1500};
 
-    /** `own`: where this daemon receives datagrams; `seeds` are such addresses of others. */
+    /**
+     * `own`: address at which this daemon receives datagrams; `seeds`: such addresses of the seeds.
+     * `entryInterval`: interval at which targets write their entries.
+     */
     ColdViewTracker(const FleetDirectory &directory, std::vector<Endpoint> seeds, Endpoint own,
-                    Duration entryPause);
+                    Duration entryInterval);
 
-    /** To be called some times a second. */
-    ColdTargetSenders review(const ItemReach &items, Instant now);
-    /** It has just started: reading at the source itself, it knows sooner which targets are cold.
+    /** To be called several times per second. */
+    ColdTargetSenders review(const ItemReachability &items, Instant now);
+    /**
+     * True shortly after the start, while entries may still be from before the end of an
+     * evacuation. This time is shorter for a daemon that reads at the source itself
+     * (`readsAtSource`).
      */
-    bool mayHaveStaleEntries(bool ownReaches, Instant now) const;
+    bool mayHaveStaleEntries(bool readsAtSource, Instant now) const;
 
 private:
-    ColdView view(const ItemReach &items, Instant now);
-    void noteMembers(const std::vector<std::uint64_t> &members, Instant now);
+    ColdView view(const ItemReachability &items, Instant now);
+    void updateMembers(const std::vector<std::uint64_t> &members, Instant now);
     /**
-     * Most of the seeds and of all members that were heard of in AddressLimit are live. Of two
-     * parts of a fleet that don't hear each other only one is so.
+     * True if most of the seeds and most of the members heard of within AddressRetention are live.
+     * This holds in at most one of two partitions that can't hear each other.
      */
-    bool isMainPart(Instant now) const;
+    bool isMainPartition(Instant now) const;
 
     const FleetDirectory &m_directory;
     const std::vector<Endpoint> m_seeds;
     const Endpoint m_own;
-    const Duration m_entryPause;
+    const Duration m_entryInterval;
     std::optional<Instant> m_started;
-    Instant m_reviewed {};
-    Instant m_doubtUntil {};
-    /** Of the last review; sorted. */
+    Instant m_lastReview {};
+    Instant m_doubtfulUntil {};
+    /** Members of the last review, sorted. */
     std::vector<std::uint64_t> m_members;
-    /** When a name was last added to them. */
-    Instant m_nameAdded {};
+    /** Time at which a member was last added to m_members. */
+    Instant m_lastMemberAdded {};
 };
 
 } // namespace Apricothook
--- a/packages/fleetview/apricothook/fleetview/apricothook_fleet_directory.cpp
+++ b/packages/fleetview/apricothook/fleetview/apricothook_fleet_directory.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/** The smallest power of two that makes cells of LargestCell at most, on average. */
+/** Smallest power of two with which a cell has at most LargestCell daemons on average. */
 std::uint32_t cellsFor(std::size_t daemons)
 {
     const std::size_t cells
@@ -20,8 +20,10 @@
     return static_cast<std::uint32_t>(std::bit_ceil(std::max<std::size_t>(cells, 1)));
 }
 
-/** Small VMs have the least processor time and bandwidth to spare for the others. */
-bool readsBefore(const MemberInfo &one, const MemberInfo &other)
+/**
+ * Orders readers by capacity, as small VMs have the least processor time and bandwidth to spare.
+ */
+bool hasReadPriority(const MemberInfo &one, const MemberInfo &other)
 {
     return std::tuple(other.capacity, memberHash(one.member))
         < std::tuple(one.capacity, memberHash(other.member));
@@ -40,7 +42,7 @@
 
 std::uint32_t FleetDirectory::cellOf(const MemberId &member) const
 {
-    // The upper bits, so that a cell falls into two when the number of cells doubles.
+    // The upper bits are used, so that each cell splits in two when the number of cells doubles.
     constexpr int HashBits = 64;
     const int cellBits = std::countr_zero(m_cells);
     return cellBits == 0
@@ -48,17 +50,17 @@
         : static_cast<std::uint32_t>(hashOf(member.text()) >> (HashBits - cellBits));
 }
 
-void FleetDirectory::update(const MemberInfo &brief, Instant now)
+void FleetDirectory::update(const MemberInfo &info, Instant now)
 {
-    if (brief.member == m_self)
+    if (info.member == m_self)
         return;
-    const Instant heard = now - std::chrono::milliseconds(brief.age);
-    const auto known = m_members.find(brief.member);
+    const Instant heard = now - std::chrono::milliseconds(info.age);
+    const auto known = m_members.find(info.member);
     if (known != m_members.end() && known->second.heard >= heard)
         return;
-    if (known == m_members.end() || known->second.info.process != brief.process)
-        m_news = now;
-    m_members[brief.member] = {brief, heard, cellOf(brief.member)};
+    if (known == m_members.end() || known->second.info.process != info.process)
+        m_lastDiscovery = now;
+    m_members[info.member] = {info, heard, cellOf(info.member)};
 }
 
 bool FleetDirectory::hasDiscoveredFleet(const std::vector<Endpoint> &seeds, const Endpoint &own,
@@ -74,9 +76,9 @@
     const Duration age = now - *m_started;
     const auto heard = static_cast<std::size_t>(std::ranges::count_if(seeds, isHeard));
     if (2 * heard < seeds.size() + 1 && !seeds.empty())
-        return age > LoneTime;
-    const bool isQuiet = now - m_news.value_or(*m_started) > QuietTime;
-    return age > LongestLearning || (age > QuietTime && isQuiet);
+        return age > SeedTimeout;
+    const bool isQuiet = now - m_lastDiscovery.value_or(*m_started) > DiscoveryQuietTime;
+    return age > LongestDiscovery || (age > DiscoveryQuietTime && isQuiet);
 }
 
 bool FleetDirectory::reachesSeedMajority(const std::vector<Endpoint> &seeds, const Endpoint &own,
@@ -97,22 +99,22 @@
 {
     m_started = m_started.value_or(now);
     std::erase_if(m_members,
-                  [now](const auto &entry) { return now - entry.second.heard > AddressLimit; });
+                  [now](const auto &entry) { return now - entry.second.heard > AddressRetention; });
     const std::size_t known = knownCount(now);
-    if (!mayHave(m_cells, known))
+    if (!isValidCellCount(m_cells, known))
         setCells(cellsFor(known));
 }
 
-bool FleetDirectory::mayHave(std::uint32_t cells, std::size_t daemons)
+bool FleetDirectory::isValidCellCount(std::uint32_t cells, std::size_t daemons)
 {
-    const auto fewest = static_cast<std::size_t>(JoiningPart * LargestCell * cells / 2);
+    const auto fewest = static_cast<std::size_t>(HalvingThreshold * LargestCell * cells / 2);
     return daemons <= cells * LargestCell && (cells == 1 || daemons > fewest);
 }
 
 void FleetDirectory::adoptCellCount(std::uint32_t cells, Instant now)
 {
     const bool isNumber = std::has_single_bit(cells) && cells > m_cells;
-    if (isNumber && mayHave(cells, knownCount(now)))
+    if (isNumber && isValidCellCount(cells, knownCount(now)))
         setCells(cells);
 }
 
@@ -127,7 +129,7 @@
 
 std::chrono::milliseconds FleetDirectory::summaryPause() const
 {
-    return std::max(ShortestSummaryPause, m_cells * SummaryPauseForEachCell);
+    return std::max(ShortestSummaryInterval, m_cells * SummaryIntervalPerCell);
 }
 
 std::vector<const KnownMember *> FleetDirectory::membersOfCell(std::uint32_t cell) const
@@ -140,24 +142,24 @@
     return members;
 }
 
-Duration FleetDirectory::liveLimit(const KnownMember &member) const
+Duration FleetDirectory::silenceLimit(const KnownMember &member) const
 {
-    return member.cell == ownCell() ? Duration(OwnCellLimit) : otherCellLimit();
+    return member.cell == ownCell() ? Duration(OwnCellSilenceLimit) : otherCellLimit();
 }
 
 Duration FleetDirectory::otherCellLimit() const
 {
-    return OwnCellLimit + MissedSummaries * summaryPause();
+    return OwnCellSilenceLimit + ToleratedSummaryLosses * summaryPause();
 }
 
 bool FleetDirectory::isLive(const KnownMember &member, Instant now) const
 {
-    return now - member.heard <= liveLimit(member);
+    return now - member.heard <= silenceLimit(member);
 }
 
 bool FleetDirectory::isRoutable(const KnownMember &member, Instant now) const
 {
-    return isLive(member, now) && now - member.heard <= LongestNamed;
+    return isLive(member, now) && now - member.heard <= LongestRoutableSilence;
 }
 
 bool FleetDirectory::isKnown(const KnownMember &member, Instant now) const
@@ -188,7 +190,7 @@
     return cells;
 }
 
-std::vector<const KnownMember *> FleetDirectory::liveOfOwnCell(Instant now) const
+std::vector<const KnownMember *> FleetDirectory::liveMembersOfOwnCell(Instant now) const
 {
     std::vector<const KnownMember *> live = membersOfCell(ownCell());
     std::erase_if(live, [&](const KnownMember *member) { return !isLive(*member, now); });
@@ -198,25 +200,26 @@
 bool FleetDirectory::isReader(const MemberInfo &self, Instant now) const
 {
     std::size_t candidates = 0;
-    std::size_t before = 0;
-    std::size_t wanted = ReadersOfCell;
-    for (const KnownMember *member : liveOfOwnCell(now)) {
-        const MemberInfo &brief = member->info;
-        // A source that turned one VM away in silence may do so to its successor, which would show
-        // only after another time-out: too late for a change that was made in between.
-        wanted += brief.hasLostSource ? 1 : 0;
-        if (!brief.isReady || brief.isLeaving || brief.hasLostSource)
+    std::size_t ahead = 0;
+    std::size_t wanted = ReadersPerCell;
+    for (const KnownMember *member : liveMembersOfOwnCell(now)) {
+        const MemberInfo &info = member->info;
+        // A source that silently drops the requests of one VM may do the same to its successor.
+        // This would be noticed only after another timeout, too late for a change made in between,
+        // so an additional daemon reads for each one that has lost the source.
+        wanted += info.hasLostSource ? 1 : 0;
+        if (!info.isReady || info.isLeaving || info.hasLostSource)
             continue;
         ++candidates;
-        before += readsBefore(brief, self) ? 1 : 0;
+        ahead += hasReadPriority(info, self) ? 1 : 0;
     }
     const bool isCandidate = !self.hasLostSource && !self.isLeaving;
-    if (candidates + (isCandidate ? 1 : 0) < ReadersOfCell)
+    if (candidates + (isCandidate ? 1 : 0) < ReadersPerCell)
         return true;
-    return isCandidate && before < wanted;
+    return isCandidate && ahead < wanted;
 }
 
-bool FleetDirectory::mayServe(const KnownMember &member, Instant now) const
+bool FleetDirectory::isServing(const KnownMember &member, Instant now) const
 {
     return isLive(member, now) && member.info.isReady && !member.info.isLeaving;
 }
@@ -225,28 +228,28 @@
 {
     if (m_cells == 1 || self.isLeaving || self.hasLostSource)
         return false;
-    const auto goesBefore = [&](const auto &entry) {
+    const auto isAhead = [&](const auto &entry) {
         const KnownMember &member = entry.second;
-        return mayServe(member, now) && !member.info.hasLostSource
-            && readsBefore(member.info, self);
+        return isServing(member, now) && !member.info.hasLostSource
+            && hasReadPriority(member.info, self);
     };
-    return static_cast<std::size_t>(std::ranges::count_if(m_members, goesBefore)) < ReadersOfFleet;
+    return static_cast<std::size_t>(std::ranges::count_if(m_members, isAhead)) < FleetReaders;
 }
 
 std::vector<Endpoint> FleetDirectory::readersOfOtherCells(Instant now) const
 {
     std::vector<std::vector<const MemberInfo *>> cells(m_cells);
     for (const auto &[id, member] : m_members) {
-        if (member.cell != ownCell() && mayServe(member, now))
+        if (member.cell != ownCell() && isServing(member, now))
             cells[member.cell].push_back(&member.info);
     }
     std::vector<Endpoint> readers;
     for (std::vector<const MemberInfo *> &cell : cells) {
         std::ranges::sort(
-            cell, [](const auto *one, const auto *other) { return readsBefore(*one, *other); });
-        cell.resize(std::min(cell.size(), ReadersOfCell));
-        for (const MemberInfo *brief : cell)
-            readers.push_back(brief->beaconAddress);
+            cell, [](const auto *one, const auto *other) { return hasReadPriority(*one, *other); });
+        cell.resize(std::min(cell.size(), ReadersPerCell));
+        for (const MemberInfo *info : cell)
+            readers.push_back(info->beaconAddress);
     }
     return readers;
 }
@@ -254,7 +257,7 @@
 SourceReachability FleetDirectory::sourceReachability(const MemberInfo &self, Instant now) const
 {
     SourceReachability contact {self.reachesSource, self.hasLostSource};
-    for (const KnownMember *member : liveOfOwnCell(now)) {
+    for (const KnownMember *member : liveMembersOfOwnCell(now)) {
         contact.anyReachable |= member->info.reachesSource;
         contact.anyFailed |= member->info.hasLostSource;
     }
@@ -263,9 +266,9 @@
 
 MemberInfo FleetDirectory::advertisedInfo(const KnownMember &member, Instant now)
 {
-    MemberInfo brief = member.info;
-    brief.age = millisecondsOf(now - member.heard);
-    return brief;
+    MemberInfo info = member.info;
+    info.age = millisecondsOf(now - member.heard);
+    return info;
 }
 
 std::vector<MemberInfo> FleetDirectory::sample(std::size_t most, RandomSource &random,
--- a/packages/fleetview/apricothook/fleetview/apricothook_fleet_size.hpp
+++ b/packages/fleetview/apricothook/fleetview/apricothook_fleet_size.hpp
@@ -8,22 +8,24 @@
 namespace Apricothook {
 
 /**
- * The number of daemons among which a bound of the whole fleet is divided.
+ * Number of daemons among which a fleet-wide limit is divided.
  *
- * The members in sight don't tell it: a daemon that has just started or is cut off sees only
- * itself, and would take the whole for its part. So the number is unknown until this daemon has
- * heard of the fleet, and falls only while it hears most of the seeds. Of two parts of a fleet that
- * don't hear each other, one at most does.
+ * The number of live members can't be used: a daemon that has just started or is cut off knows only
+ * itself and would claim the whole limit. The number is therefore unknown until this daemon has
+ * discovered the fleet, and it decreases only while this daemon hears most of the seeds, which
+ * holds in at most one of two partitions that can't hear each other.
  */
 class FleetSize
 {
 public:
-    /** `own`: where this daemon receives datagrams; `seeds` are such addresses of others. */
+    /**
+     * `own`: address at which this daemon receives datagrams; `seeds`: such addresses of the seeds.
+     */
     FleetSize(const FleetDirectory &directory, std::vector<Endpoint> seeds, Endpoint own);
 
-    /** To be called some times a second. */
+    /** To be called several times per second. */
     void review(Instant now);
-    /** This daemon counted too; nothing while it is unknown. */
+    /** Includes this daemon; nothing while the number is unknown. */
     std::optional<std::size_t> daemons() const { return m_daemons; }
 
 private:
--- a/packages/fleetview/apricothook/fleetview/apricothook_heartbeat_table.hpp
+++ b/packages/fleetview/apricothook/fleetview/apricothook_heartbeat_table.hpp
@@ -8,60 +8,66 @@
 
 namespace Apricothook {
 
-/** What a beacon or a report changed. */
+/** Effect of a received heartbeat or load report. */
 struct HeartbeatChange
 {
-    /** It is newer than all that is known of its sender. */
+    /** It is newer than everything known about its sender. */
     bool isNewer = false;
-    /** The sender's process is another one than before, or it is new. */
+    /** The sender was unknown or has restarted. */
     bool isNewProcess = false;
-    /** The sender was silent or unknown. */
+    /** The sender was silent or unknown before. */
     bool hasReturned = false;
 };
 
-/** Another daemon of the cell as it tells itself. */
+/** Another daemon of the cell, with its last heartbeat and load report. */
 struct CellPeer
 {
     MemberInfo info;
     CellLoadReport report;
-    Instant heard {};
+    Instant lastHeard {};
     bool isLive = false;
 };
 
 /**
- * The other daemons of the own cell, from their beacons and load reports. What a silent one had at
- * the targets is forgotten after SilenceLimit.
+ * Tracks the other daemons of the own cell by their heartbeats and load reports. The load that a
+ * daemon had reported is discarded once it has been silent for SilenceLimit.
  */
 class HeartbeatTable
 {
 public:
-    /** Five beacons of an idle daemon: loss of one in three hardly ever makes such a gap. */
+    /**
+     * Five heartbeat intervals of an idle daemon. With a packet loss of one in three, a gap of this
+     * length is very unlikely.
+     */
     static constexpr std::chrono::milliseconds SilenceLimit {1000};
     /**
-     * A process that was started while its clock was set back has a smaller incarnation than the
-     * one before it. Beacons of the old process can't be on their way for so long.
+     * Upper limit of a heartbeat's delay in the network. After a longer silence, a different
+     * incarnation is accepted even if it is smaller: a process that starts while its clock is set
+     * back gets a smaller incarnation than its predecessor.
+     */
+    static constexpr std::chrono::milliseconds MaximumHeartbeatDelay {500};
+    /**
+     * Time for which a silent member's process is remembered, to compare its next heartbeat with.
      */
-    static constexpr std::chrono::milliseconds OldBeaconTime {500};
-    /** A silent member's process is remembered for so long, to tell its next word's news. */
-    static constexpr std::chrono::seconds MemoryLimit {60};
+    static constexpr std::chrono::seconds RetentionTime {60};
 
     explicit HeartbeatTable(MemberId self) : m_self(std::move(self)) { }
 
-    HeartbeatChange apply(const Heartbeat &beacon, Instant now);
-    /** A report counts only for the process whose beacon is known. */
+    HeartbeatChange apply(const Heartbeat &heartbeat, Instant now);
+    /** Load reports of a process are ignored until one of its heartbeats has been received. */
     HeartbeatChange apply(const CellLoadReport &report, Instant now);
-    /** Members that have just become silent. */
+    /** Marks members as silent and returns those that weren't before. */
     std::vector<MemberId> markSilent(Instant now);
-    /** Null when no beacon of it is known. */
+    /** Returns null if no heartbeat of the member is known. */
     const CellPeer *find(const MemberId &member) const;
-    /** Null when no beacon of it is known. */
-    const CellPeer *find(std::uint64_t memberNumber) const;
-    std::vector<const CellPeer *> heard() const;
+    /** Returns null if no heartbeat of the member is known. */
+    const CellPeer *find(std::uint64_t hash) const;
+    std::vector<const CellPeer *> livePeers() const;
 
 private:
     const MemberId m_self;
-    /** By memberHash(). */
-    std::map<std::uint64_t, CellPeer> m_mates;
+    /** Key: memberHash(). */
+    std::map<std::uint64_t, CellPeer> m_peers;
 };
 
 } // namespace Apricothook
--- a/packages/fleetview/apricothook/fleetview/apricothook_item_protocol.hpp
+++ b/packages/fleetview/apricothook/fleetview/apricothook_item_protocol.hpp
@@ -8,37 +8,37 @@
 
 namespace Apricothook {
 
-/** Why a source's answer isn't an update. */
+/** Reason why a response of the source contains no update. */
 enum class ItemProtocolError {
     Malformed,
-    HistoryCompacted, ///< The changes since that revision are no longer known: read everything.
-    Refused,          ///< The source answers nobody, or not us, for now.
+    HistoryCompacted, ///< The changes since that revision are gone; all items must be read.
+    Refused, ///< The source currently rejects requests, of all daemons or only of this one.
 };
 
-/** One page of everything that there is. */
+/** One page of the listing of all items. */
 struct ItemPage
 {
     ItemUpdate update;
-    /** The next page begins behind the last item of this one. */
+    /** A further page follows, which starts after the last key of this one. */
     bool hasMore = false;
 };
 
-/** An answer as it came. */
+/** HTTP response of a source, before it is parsed. */
 struct SourceAnswer
 {
     unsigned status = 0;
     std::string body;
 };
 
-/** How a source of published items is asked; the calls and formats behind one interface. */
+/** Request paths and response formats of a source of published items. */
 class ItemProtocol
 {
 public:
     virtual ~ItemProtocol() = default;
-    /** Path and query that ask for the items behind the key `after`. */
+    /** Path and query that request the page of items whose keys follow `after`. */
     virtual std::string pagePath(const std::string &after) const = 0;
     virtual Result<ItemPage, ItemProtocolError> page(const SourceAnswer &answer) const = 0;
-    /** Path and query that wait up to `wait` for changes after a revision. */
+    /** Path and query of a long poll that waits up to `wait` for changes after a revision. */
     virtual std::string watchPath(Revision after, std::chrono::milliseconds wait) const = 0;
     virtual Result<ItemUpdate, ItemProtocolError> watched(const SourceAnswer &answer) const = 0;
 };
--- a/packages/fleetview/apricothook/fleetview/apricothook_item_replica.cpp
+++ b/packages/fleetview/apricothook/fleetview/apricothook_item_replica.cpp
@@ -30,7 +30,7 @@
         return;
     m_newsRevision = std::max(m_newsRevision, change.revision);
     m_history.push_back(change);
-    if (m_history.size() > KeptChanges) {
+    if (m_history.size() > HistoryLimit) {
         m_historyStart = std::max(m_historyStart, m_history.front().revision);
         m_history.pop_front();
     }
@@ -43,7 +43,7 @@
         present.insert(change.key);
     std::vector<ItemChange> removed;
     for (const auto &[key, item] : m_items) {
-        // What is newer than the listing may have been written after it.
+        // An item that is newer than the listing may have been written after it.
         if (item.value && item.revision <= whole.revision && !present.contains(key))
             removed.push_back({key, std::nullopt, whole.revision});
     }
--- a/packages/fleetview/apricothook/fleetview/apricothook_item_replica.hpp
+++ b/packages/fleetview/apricothook/fleetview/apricothook_item_replica.hpp
@@ -13,64 +13,62 @@
 
 namespace Apricothook {
 
-/** A number that grows with each change of the published items. */
+/** Increases with each change of the published items. */
 using Revision = std::uint64_t;
 
-/** A published item as it was written, or its removal. */
+/** A write or removal of a published item. */
 struct ItemChange
 {
     std::string key;
-    /** Nothing when the item was removed. */
+    /** Empty if the item was removed. */
     std::optional<std::string> value;
     Revision revision = 0;
 
     auto operator<=>(const ItemChange &) const = default;
 };
 
-/** What a source tells: changes, or everything that there is. */
+/** Content of a source's response: changes or a complete listing. */
 struct ItemUpdate
 {
     std::vector<ItemChange> changes;
-    /** `changes` are all items; what isn't among them was removed. */
+    /** `changes` lists all items; any other item has been removed. */
     bool isSnapshot = false;
-    /** The revision up to which the source has told everything. */
+    /** Revision up to which the update is complete. */
     Revision revision = 0;
 
     auto operator<=>(const ItemUpdate &) const = default;
 };
 
 /**
- * This daemon's copy of the published items.
+ * This daemon's replica of the published items.
  *
- * A target may write its entry anew to say no more than that it lives, or that it is less cold than
- * before. Passed on to all daemons that would grow with targets times daemons, so only changes that
- * matter are told to peers; that an entry lapses is one.
+ * A target also rewrites its entry as a heartbeat or to report that it has become less cold.
+ * Forwarding these writes to all daemons would cause traffic proportional to targets times daemons.
+ * Only significant changes are therefore forwarded to peers; the expiry of an entry is one.
  *
- * Sources may tell the same change twice or in any
- * order; of each key the highest revision counts, and a removal is remembered so that an older copy
- * of the item doesn't bring it back.
+ * Changes may be received repeatedly and in any order. For each key the highest revision wins, and
+ * removals are kept as tombstones so that an older copy of an item doesn't restore it.
  */
 class ItemReplica
 {
 public:
     /**
-     * Changes that are kept for peers that ask what happened since a revision; without them they
-     * get all items. Enough for each of 3,000 targets to come in one go.
+     * Number of changes kept for peers that request the changes since a revision; a peer that is
+     * further behind gets all items. Sufficient for 3,000 targets to register at once.
      */
-    static constexpr std::size_t KeptChanges = 4096;
-    /** Called for each change that is new; true when it tells anything that matters to peers. */
+    static constexpr std::size_t HistoryLimit = 4096;
+    /** Called for each new change; returns true if the change is significant to peers. */
     using Changed = std::function<bool(const ItemChange &)>;
 
     explicit ItemReplica(Changed changed) : m_changed(std::move(changed)) { }
 
     void apply(const ItemUpdate &update);
     Revision revision() const { return m_revision; }
-    /** Of the last change that matters to peers and came after the first update; zero at first. */
+    /** Revision of the last significant change after the first update; zero before there is one. */
     Revision relevantRevision() const { return m_newsRevision; }
-    /** The same with all that the first update told, for those that others hear news from. */
+    /** The same, but at least the revision of the first update; for daemons that others follow. */
     Revision advertisedRevision() const { return std::max(m_firstRevision, m_newsRevision); }
-    /** What a peer that knows all up to `after` lacks; everything when that isn't known any more.
-     */
+    /** Significant changes after a revision, or all items if the history no longer reaches back. */
     ItemUpdate since(Revision after) const;
 
 private:
@@ -85,9 +83,9 @@
 
     Changed m_changed;
     std::map<std::string, Item> m_items;
-    /** In the order in which they became known, which is that of revisions but for late ones. */
+    /** In order of arrival, which is the order of revisions except for delayed changes. */
     std::deque<ItemChange> m_history;
-    /** since() answers with changes for revisions from here on. */
+    /** Lowest revision for which since() returns changes only. */
     Revision m_historyStart = 0;
     Revision m_revision = 0;
     Revision m_firstRevision = 0;
--- a/packages/fleetview/apricothook/fleetview/apricothook_item_watcher.cpp
+++ b/packages/fleetview/apricothook/fleetview/apricothook_item_watcher.cpp
@@ -9,9 +9,9 @@
 
 std::chrono::milliseconds ItemWatcher::watchTime(Duration inForce)
 {
-    const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(
+    const auto remaining = std::chrono::duration_cast<std::chrono::milliseconds>(
         inForce - BatchDelay - AnswerTime - FailoverTime);
-    return std::clamp(left, ShortestWatch, LongestWatch);
+    return std::clamp(remaining, ShortestWatch, LongestWatch);
 }
 
 ItemWatcher::ItemWatcher(const Endpoint &source, const ItemProtocol &protocol,
@@ -21,7 +21,7 @@
     , m_watchTime(watchTime)
     , m_updated(std::move(updated))
     , m_stateChanged(std::move(stateChanged))
-    , m_client(std::make_unique<BlockingHttpClient>(source, ConnectTime, m_stopping))
+    , m_client(std::make_unique<BlockingHttpClient>(source, ConnectTimeout, m_stopping))
     , m_thread([this] { run(); })
 {
 }
@@ -38,7 +38,7 @@
         const std::lock_guard lock(m_mutex);
         m_stopping = true;
     }
-    m_dutyChanged.notify_one();
+    m_wakeUp.notify_one();
 }
 
 void ItemWatcher::pauseReading()
@@ -54,17 +54,17 @@
         m_isPaused = false;
         m_resumedFrom = known;
     }
-    m_dutyChanged.notify_one();
+    m_wakeUp.notify_one();
 }
 
-void ItemWatcher::waitForDuty()
+void ItemWatcher::waitWhilePaused()
 {
     std::unique_lock lock(m_mutex);
-    m_dutyChanged.wait(lock, [this] { return !m_isPaused || m_stopping; });
+    m_wakeUp.wait(lock, [this] { return !m_isPaused || m_stopping; });
     const std::optional<Revision> known = std::exchange(m_resumedFrom, std::nullopt);
     if (!known)
         return;
-    // What the source said before the pause tells nothing of it now.
+    // The state from before the pause says nothing about the source's current state.
     m_state.reset();
     if (*known > 0)
         m_revision = std::max(m_revision.value_or(0), *known);
@@ -75,16 +75,16 @@
     while (!m_stopping) {
         if (!(m_revision ? watchOnce() : readAll()))
             pauseAfterFailure();
-        waitForDuty();
+        waitWhilePaused();
     }
 }
 
 void ItemWatcher::pauseAfterFailure()
 {
-    std::this_thread::sleep_for(RetryPause);
+    std::this_thread::sleep_for(RetryInterval);
 }
 
-void ItemWatcher::tell(SourceState state)
+void ItemWatcher::reportState(SourceState state)
 {
     if (m_state == state)
         return;
@@ -105,11 +105,12 @@
             ? m_protocol.page(*answer)
             : Result<ItemPage, ItemProtocolError>(ItemProtocolError::Malformed);
         if (!page) {
-            tell(answer ? SourceState::Refusing : SourceState::Unreachable);
+            reportState(answer ? SourceState::Refusing : SourceState::Unreachable);
             return false;
         }
         const ItemUpdate &update = page.value().update;
-        // Pages are read one after the other: only what the first one shows is surely all there.
+        // Items may change between pages, so the listing is complete only up to the revision of
+        // the first page.
         revision = revision.value_or(update.revision);
         whole.changes.insert(whole.changes.end(), update.changes.begin(), update.changes.end());
         if (!page.value().hasMore || update.changes.empty())
@@ -118,20 +119,20 @@
     }
     whole.revision = *revision;
     m_revision = revision;
-    tell(SourceState::Reachable);
+    reportState(SourceState::Reachable);
     m_updated(std::move(whole));
     return true;
 }
 
 bool ItemWatcher::watchOnce()
 {
-    // After a failure a short wait shows soon whether the source is back.
+    // After a failure, a short poll detects sooner whether the source is reachable again.
     const auto wait
         = m_state == SourceState::Reachable ? m_watchTime : std::chrono::milliseconds(100);
     const std::optional<SourceAnswer> answer
         = m_client->get(m_protocol.watchPath(*m_revision, wait), wait + AnswerTime);
     if (!answer) {
-        tell(SourceState::Unreachable);
+        reportState(SourceState::Unreachable);
         return false;
     }
     Result<ItemUpdate, ItemProtocolError> update = m_protocol.watched(*answer);
@@ -140,10 +141,10 @@
             m_revision.reset();
             return true;
         }
-        tell(SourceState::Refusing);
+        reportState(SourceState::Refusing);
         return false;
     }
-    tell(SourceState::Reachable);
+    reportState(SourceState::Reachable);
     m_revision = std::max(*m_revision, update.value().revision);
     if (update.value().changes.empty())
         return true;
--- a/packages/fleetview/apricothook/fleetview/apricothook_item_watcher.hpp
+++ b/packages/fleetview/apricothook/fleetview/apricothook_item_watcher.hpp
@@ -15,68 +15,72 @@
 
 class BlockingHttpClient;
 
-/** What became of a watcher's last call. */
+/** Result of a watcher's last call to the source. */
 enum class SourceState { Reachable, Unreachable, Refusing };
 
 /**
- * Follows the published items at their source, in a thread of its own: reads everything once, then
- * waits for changes, and reads everything again after a gap.
+ * Watches the published items at their source in a dedicated thread. Reads all items once, then
+ * waits for changes with long polls, and reads all items again if it has missed changes.
  */
 class ItemWatcher
 {
 public:
-    /** Longest that the source may let a watch wait. */
+    /** Longest time that the source may hold a long poll open. */
     static constexpr std::chrono::milliseconds LongestWatch {2000};
     static constexpr std::chrono::milliseconds ShortestWatch {200};
-    /** What the other daemons need to hear of a reader's failure and to read for it. */
+    /** Time that other daemons need to hear of a reader's failure and to read in its place. */
     static constexpr std::chrono::milliseconds FailoverTime {300};
-    /** Longer than the wait by so much, a call has failed. */
+    /** Timeout of a call, in addition to the time that the source may hold it open. */
     static constexpr std::chrono::milliseconds AnswerTime {700};
-    static constexpr std::chrono::milliseconds ConnectTime {500};
+    static constexpr std::chrono::milliseconds ConnectTimeout {500};
     /**
-     * After an answer with changes: others that come right after it cost no call of their own.
-     * Against 100 ms it saves a fifth of the calls on days with many changes in large fleets.
+     * Pause after a response with changes, so that further changes that follow closely share the
+     * next call. Compared with 100 ms, it saves a fifth of the calls in large fleets with many
+     * changes.
      */
     static constexpr std::chrono::milliseconds BatchDelay {250};
-    /** Between calls that failed; the source's rate is shared by all daemons. */
-    static constexpr std::chrono::milliseconds RetryPause {150};
+    /** Pause after a failed call, as all daemons share the source's rate limit. */
+    static constexpr std::chrono::milliseconds RetryInterval {150};
 
     using Updated = std::function<void(ItemUpdate)>;
     using StateChanged = std::function<void(SourceState)>;
 
     /**
-     * How long a watch may wait so that a change is in force in time though the connection of the
-     * reader that should hear it fell silent: the pause before it, its wait, the time-out and
-     * another reader's turn fit into `inForce`.
+     * Longest time for which a long poll may be held open so that a change takes effect within
+     * `inForce` even if the reader's connection stalls. `inForce` must cover the pause before the
+     * poll, the poll, its timeout and the failover to another reader.
      */
     static std::chrono::milliseconds watchTime(Duration inForce);
 
-    /** Both are called on the watcher's thread. */
+    /** `updated` and `stateChanged` are called on the watcher's thread. */
     ItemWatcher(const Endpoint &source, const ItemProtocol &protocol,
                 std::chrono::milliseconds watchTime, Updated updated, StateChanged stateChanged);
     ~ItemWatcher();
     ItemWatcher(const ItemWatcher &) = delete;
     ItemWatcher &operator=(const ItemWatcher &) = delete;
 
-    /** Longest that a call goes on after a stop: libcurl looks at it once a second. */
+    /** Longest time that a call continues after stop(): libcurl checks once a second. */
     static constexpr std::chrono::milliseconds StopTime {1000};
 
-    /** The thread ends within StopTime; whoever destroys the watcher then doesn't wait. */
+    /** Makes the thread end within StopTime; afterwards the destructor doesn't block. */
     void stop();
-    /** After this the present call ends and no other one begins. */
+    /** Completes the current call and starts no other one. */
     void pauseReading();
-    /** Goes on; all up to `known` has been heard elsewhere, zero for nothing. Reads at first. */
+    /**
+     * Resumes reading after `known`, the revision up to which all changes have been received from
+     * peers, or zero if none have. A new watcher isn't paused.
+     */
     void resumeReading(Revision known);
 
 private:
     void run();
-    /** False when the call failed. */
+    /** Returns false if the call failed. */
     bool readAll();
     bool watchOnce();
-    void tell(SourceState state);
+    void reportState(SourceState state);
     void pauseAfterFailure();
-    /** Waits while reading is paused. */
-    void waitForDuty();
+    /** Blocks while reading is paused. */
+    void waitWhilePaused();
 
     const ItemProtocol &m_protocol;
     const std::chrono::milliseconds m_watchTime;
@@ -84,13 +88,13 @@
     const StateChanged m_stateChanged;
     const std::unique_ptr<BlockingHttpClient> m_client;
     std::optional<SourceState> m_state;
-    /** Nothing while everything must be read. */
+    /** Empty if all items must be read. */
     std::optional<Revision> m_revision;
     std::atomic<bool> m_stopping = false;
     std::mutex m_mutex;
-    std::condition_variable m_dutyChanged;
+    std::condition_variable m_wakeUp;
     bool m_isPaused = false;
-    /** Set by resumeReading() for the thread to take over. */
+    /** Passed from resumeReading() to the thread. */
     std::optional<Revision> m_resumedFrom;
     std::thread m_thread;
 };
--- a/packages/fleetview/apricothook/fleetview/apricothook_member_info.hpp
+++ b/packages/fleetview/apricothook/fleetview/apricothook_member_info.hpp
@@ -8,28 +8,28 @@
 
 namespace Apricothook {
 
-/** What daemons pass on of one of them. */
+/** Information about a daemon that daemons exchange. */
 struct MemberInfo
 {
     MemberId member;
-    /** Larger for each later process of the member. */
+    /** Increases with each restart of the member. */
     Incarnation process;
     DataCentreId dataCentre;
-    /** Where it receives datagrams of other daemons. */
+    /** Address at which it receives datagrams of other daemons. */
     Endpoint beaconAddress;
     Endpoint callerAddress;
-    /** Where others ask it for published items. */
+    /** Address at which it serves published items to other daemons. */
     Endpoint itemAddress;
-    /** Serves callers and knows a configuration. */
+    /** Has a configuration and serves callers. */
     bool isReady = false;
     bool isLeaving = false;
-    /** Its last call to the published items' source was answered. */
+    /** Its last call to the source of the published items succeeded. */
     bool reachesSource = false;
-    /** Its last call failed. Neither, when it leaves reading to others. */
+    /** Its last call to the source failed. Neither flag is set if it doesn't read there. */
     bool hasLostSource = false;
-    /** Callers that it can take, against other daemons; its part of a core in hundredths. */
+    /** Weight for the distribution of callers: its share of a processor core in hundredths. */
     std::uint32_t capacity = 1;
-    /** Milliseconds since the member itself was heard, as far as the sender knows. */
+    /** Milliseconds since the member itself was last heard, as far as the sender knows. */
     std::uint32_t age = 0;
 
     template <typename Archive, typename Self>
--- a/packages/fleetview/apricothook/fleetview/apricothook_peer_datagram.hpp
+++ b/packages/fleetview/apricothook/fleetview/apricothook_peer_datagram.hpp
@@ -14,11 +14,11 @@
 
 namespace Apricothook {
 
-/** Who a daemon is and all that it does; told to its cell some times a second. */
+/** Identity and complete load of a daemon, sent to its cell several times per second. */
 struct Heartbeat
 {
     MemberInfo sender;
-    /** The highest revision of a published item that the sender has. */
+    /** Highest revision of a published item that the sender has. */
     std::uint64_t revision = 0;
     CellLoadReport report;
 
@@ -31,17 +31,17 @@
 };
 
 /**
- * What the members of one cell tell those of the others, each in turn to another daemon. It holds
- * the present state, no differences, so it doesn't matter which member tells it or whether some
- * are lost.
+ * Members of one cell, sent to the members of the other cells in turn. A summary contains the
+ * current state rather than changes, so that it doesn't matter which member sends it or whether
+ * some are lost.
  */
 struct CellSummary
 {
     std::uint32_t cell = 0;
-    /** Cells of the fleet in the sender's view. */
+    /** Number of cells in the sender's view. */
     std::uint32_t cells = 1;
     std::uint64_t revision = 0;
-    /** The members of the cell that the sender hears, itself first. */
+    /** The sender, followed by the live members of its cell. */
     std::vector<MemberInfo> members;
 
     template <typename Archive, typename Self>
@@ -52,13 +52,13 @@
     auto operator<=>(const CellSummary &) const = default;
 };
 
-/** A daemon's word to one that may not know it, with some others that it knows. */
+/** Introduces the sender to a daemon that may not know it, with some other members it knows. */
 struct MemberGossip
 {
     MemberInfo sender;
-    /** The receiver is asked to greet back. */
+    /** Requests a reply. */
     bool wantsReply = false;
-    /** With all that it knows: the sender has just started. */
+    /** Requests all known members in the reply, as the sender has just started. */
     bool wantsFullList = false;
     std::vector<MemberInfo> others;
 
@@ -70,11 +70,11 @@
     auto operator<=>(const MemberGossip &) const = default;
 };
 
-/** What a reader of the fleet has read; told to the readers of the other cells. */
+/** State of a reader of the fleet, sent to the readers of the other cells. */
 struct ReaderAnnouncement
 {
     MemberInfo sender;
-    /** The highest revision of a published item that the sender has. */
+    /** Highest revision of a published item that the sender has. */
     std::uint64_t revision = 0;
 
     template <typename Archive, typename Self>
@@ -85,7 +85,7 @@
     auto operator<=>(const ReaderAnnouncement &) const = default;
 };
 
-/** Asks whether the receiver can be reached, and answers back. */
+/** Tests whether the receiver is reachable; answered with a ReachReply. */
 struct ReachProbe
 {
     Endpoint sender;
@@ -111,7 +111,7 @@
     auto operator<=>(const ReachReply &) const = default;
 };
 
-/** What one datagram between daemons holds. */
+/** Content of a datagram between daemons. */
 using PeerDatagram
     = std::variant<Heartbeat, CellLoadReport, CellSummary, MemberGossip, UnitsRequest, UnitsReply,
                    GrantorClaim, GrantorHandover, ReachProbe, ReachReply, ReaderAnnouncement,
--- a/packages/fleetview/apricothook/fleetview/apricothook_peer_item_fetcher.cpp
+++ b/packages/fleetview/apricothook/fleetview/apricothook_peer_item_fetcher.cpp
@@ -18,7 +18,7 @@
         const std::lock_guard lock(m_mutex);
         m_stopping = true;
     }
-    m_ordered.notify_one();
+    m_wakeUp.notify_one();
     m_thread.join();
 }
 
@@ -29,9 +29,9 @@
         if (m_busy)
             return false;
         m_busy = true;
-        m_order = Order {peer, after};
+        m_request = FetchRequest {peer, after};
     }
-    m_ordered.notify_one();
+    m_wakeUp.notify_one();
     return true;
 }
 
@@ -39,21 +39,22 @@
 {
     std::unique_lock lock(m_mutex);
     while (true) {
-        m_ordered.wait(lock, [this] { return m_stopping || m_order; });
+        m_wakeUp.wait(lock, [this] { return m_stopping || m_request; });
         if (m_stopping)
             return;
-        const Order order = *std::exchange(m_order, std::nullopt);
+        const FetchRequest order = *std::exchange(m_request, std::nullopt);
         lock.unlock();
-        m_fetched(order.peer, carryOut(order));
+        m_fetched(order.peer, fetchItems(order));
         lock.lock();
         m_busy = false;
     }
 }
 
-std::optional<ItemUpdate> PeerItemFetcher::carryOut(const Order &order)
+std::optional<ItemUpdate> PeerItemFetcher::fetchItems(const FetchRequest &order)
 {
-    BlockingHttpClient client(order.peer.itemAddress, ConnectTime, m_stopping);
-    const std::optional<SourceAnswer> answer = client.get(peerItemsPath(order.after), AnswerTime);
+    BlockingHttpClient client(order.peer.itemAddress, ConnectTimeout, m_stopping);
+    const std::optional<SourceAnswer> answer
+        = client.get(peerItemsPath(order.after), ResponseTimeout);
     if (!answer || answer->status != HttpStatus::Ok)
         return std::nullopt;
     Result<ItemUpdate, ItemProtocolError> update = parseItemUpdate(answer->body);
--- a/packages/fleetview/apricothook/fleetview/apricothook_peer_item_fetcher.hpp
+++ b/packages/fleetview/apricothook/fleetview/apricothook_peer_item_fetcher.hpp
@@ -14,41 +14,41 @@
 namespace Apricothook {
 
 /**
- * Asks peers for published items, in a thread of its own. The source may turn away or lose touch
- * with this VM while others hear it; a peer's beacon then shows a later revision, and the peer has
- * the items.
+ * Fetches published items from peers in a dedicated thread. The source may reject or be unreachable
+ * for this VM while other VMs reach it. A peer's heartbeat then announces a later revision, and the
+ * items are fetched from that peer.
  */
 class PeerItemFetcher
 {
 public:
-    /** A peer is a round trip away; more means that it is gone or far too busy. */
-    static constexpr std::chrono::milliseconds AnswerTime {800};
-    static constexpr std::chrono::milliseconds ConnectTime {300};
+    /** A peer is one round trip away; if a response takes longer, it is down or overloaded. */
+    static constexpr std::chrono::milliseconds ResponseTimeout {800};
+    static constexpr std::chrono::milliseconds ConnectTimeout {300};
     using Fetched = std::function<void(const MemberInfo &peer, std::optional<ItemUpdate>)>;
 
-    /** `fetched` is called on the fetcher's thread; without an update when the peer failed. */
+    /** `fetched` is called on the fetcher's thread, without an update if the request failed. */
     explicit PeerItemFetcher(Fetched fetched);
     ~PeerItemFetcher();
     PeerItemFetcher(const PeerItemFetcher &) = delete;
     PeerItemFetcher &operator=(const PeerItemFetcher &) = delete;
 
-    /** False, and nothing is done, while another fetch runs. */
+    /** Returns false and does nothing while another fetch is in progress. */
     bool fetch(const MemberInfo &peer, Revision after);
 
 private:
-    struct Order
+    struct FetchRequest
     {
         MemberInfo peer;
         Revision after = 0;
     };
 
     void run();
-    std::optional<ItemUpdate> carryOut(const Order &order);
+    std::optional<ItemUpdate> fetchItems(const FetchRequest &order);
 
     const Fetched m_fetched;
     std::mutex m_mutex;
-    std::condition_variable m_ordered;
-    std::optional<Order> m_order;
+    std::condition_variable m_wakeUp;
+    std::optional<FetchRequest> m_request;
     bool m_busy = false;
     std::atomic<bool> m_stopping = false;
     std::thread m_thread;
--- a/packages/fleetview/apricothook/fleetview/apricothook_peer_item_protocol.cpp
+++ b/packages/fleetview/apricothook/fleetview/apricothook_peer_item_protocol.cpp
@@ -13,7 +13,7 @@
 
 constexpr std::string_view AfterParameter = "?after=";
 
-Result<ItemChange, ItemProtocolError> changeOf(const Json::Value &item)
+Result<ItemChange, ItemProtocolError> parseChange(const Json::Value &item)
 {
     if (!item.isObject() || !item["key"].isString() || !item["revision"].isUInt64())
         return ItemProtocolError::Malformed;
@@ -74,7 +74,7 @@
     update.revision = document["revision"].asUInt64();
     update.isSnapshot = document["whole"].asBool();
     for (const Json::Value &item : document["changes"]) {
-        const Result<ItemChange, ItemProtocolError> change = changeOf(item);
+        const Result<ItemChange, ItemProtocolError> change = parseChange(item);
         if (!change)
             return change.error();
         update.changes.push_back(change.value());
--- a/packages/fleetview/apricothook/fleetview/apricothook_peer_item_protocol.hpp
+++ b/packages/fleetview/apricothook/fleetview/apricothook_peer_item_protocol.hpp
@@ -8,12 +8,12 @@
 
 namespace Apricothook {
 
-/** Path at which daemons ask one another for published items. */
+/** Path at which daemons serve published items to each other. */
 constexpr std::string_view PeerItemsPath = "/items";
 
-/** Path and query that ask a peer for what was published after a revision. */
+/** Path and query that request the changes after a revision from a peer. */
 std::string peerItemsPath(Revision after);
-/** The revision that a request's target asks for; nothing when it isn't such a request. */
+/** Parses the revision from a request target; returns nothing for other request targets. */
 std::optional<Revision> requestedRevision(std::string_view target);
 
 std::string writeItemUpdate(const ItemUpdate &update);
--- a/packages/fleetview/apricothook/fleetview/apricothook_reader_selection.cpp
+++ b/packages/fleetview/apricothook/fleetview/apricothook_reader_selection.cpp
@@ -4,31 +4,34 @@
 
 namespace Apricothook {
 
-void ReaderSelection::recordAnnouncement(const ReaderAnnouncement &note, Instant now)
+void ReaderSelection::recordAnnouncement(const ReaderAnnouncement &announcement, Instant now)
 {
-    std::erase_if(m_heard,
-                  [now](const auto &entry) { return now - entry.second.at > SilenceLimit; });
-    m_heard[note.sender.member] = {note, now};
+    std::erase_if(m_announcements, [now](const auto &entry) {
+        return now - entry.second.receivedAt > SilenceLimit;
+    });
+    m_announcements[announcement.sender.member] = {announcement, now};
 }
 
 std::size_t ReaderSelection::reachableReaders(Instant now) const
 {
-    return static_cast<std::size_t>(std::ranges::count_if(m_heard, [now](const auto &entry) {
-        const MemberInfo &reader = entry.second.note.sender;
-        return now - entry.second.at <= SilenceLimit && reader.reachesSource && !reader.isLeaving;
-    }));
+    return static_cast<std::size_t>(
+        std::ranges::count_if(m_announcements, [now](const auto &entry) {
+            const MemberInfo &reader = entry.second.announcement.sender;
+            return now - entry.second.receivedAt <= SilenceLimit && reader.reachesSource
+                && !reader.isLeaving;
+        }));
 }
 
 SourceReachability ReaderSelection::sourceReachability(Instant now) const
 {
-    SourceReachability contact;
-    for (const auto &[member, heard] : m_heard) {
-        if (now - heard.at > SilenceLimit)
+    SourceReachability reachability;
+    for (const auto &[member, heard] : m_announcements) {
+        if (now - heard.receivedAt > SilenceLimit)
             continue;
-        contact.anyReachable |= heard.note.sender.reachesSource;
-        contact.anyFailed |= heard.note.sender.hasLostSource;
+        reachability.anyReachable |= heard.announcement.sender.reachesSource;
+        reachability.anyFailed |= heard.announcement.sender.hasLostSource;
     }
-    return contact;
+    return reachability;
 }
 
 bool ReaderSelection::shouldRead(const FleetDirectory &directory, const MemberInfo &self,
@@ -36,7 +39,7 @@
 {
     if (directory.isFleetReader(self, now))
         return true;
-    const bool isRelieved = directory.cells() > 1 && reachableReaders(now) >= FewestReaders;
+    const bool isRelieved = directory.cells() > 1 && reachableReaders(now) >= RequiredFleetReaders;
     return !isRelieved && directory.isReader(self, now);
 }
 
--- a/packages/fleetview/apricothook/fleetview/apricothook_reader_selection.hpp
+++ b/packages/fleetview/apricothook/fleetview/apricothook_reader_selection.hpp
@@ -8,41 +8,48 @@
 namespace Apricothook {
 
 /**
- * Whether a daemon reads the published items at their source.
+ * Decides whether a daemon reads the published items at their source.
  *
- * A few daemons read for the whole fleet and tell the readers of each cell what they have read some
- * times a second; those leave reading to them. A reader of a cell that hears too few of them reads
- * for itself, so a change comes as soon as with readers in each cell, whoever dies or is cut off.
+ * A few daemons read on behalf of the whole fleet and report several times per second to the
+ * readers of each cell, which then don't read at the source. A reader of a cell that hears too few
+ * of them reads at the source itself. Changes therefore arrive as fast as with readers in each
+ * cell, even if daemons fail or are cut off.
  */
 class ReaderSelection
 {
 public:
-    /** Between the notes of a reader of the fleet that has nothing new. */
+    /** Interval between the announcements of a reader of the fleet that has read no changes. */
     static constexpr std::chrono::milliseconds AnnouncementInterval {400};
     /**
-     * A reader that is silent for longer counts no more; two notes may be lost. As long as a silent
-     * member of the own cell is waited for.
+     * Silence after which a reader counts as failed; two announcements may be lost before. Equals
+     * the limit for members of the own cell.
      */
     static constexpr std::chrono::milliseconds SilenceLimit {1000};
-    /** Readers to be heard: one may be turned away by the source and not know it yet. */
-    static constexpr std::size_t FewestReaders = 2;
+    /**
+     * Number of readers of the fleet that must be heard. Two, as the source may be rejecting one
+     * that hasn't noticed yet.
+     */
+    static constexpr std::size_t RequiredFleetReaders = 2;
 
-    void recordAnnouncement(const ReaderAnnouncement &note, Instant now);
-    /** Readers of the fleet that were heard of late and reach the source. */
+    void recordAnnouncement(const ReaderAnnouncement &announcement, Instant now);
+    /** Number of readers of the fleet that were heard within SilenceLimit and reach the source. */
     std::size_t reachableReaders(Instant now) const;
-    /** What readers of the fleet tell of the source. */
+    /** Whether the readers of the fleet reach the source. */
     SourceReachability sourceReachability(Instant now) const;
-    /** `self` is to read; as a reader of the fleet, or of a cell that hears too few of them. */
+    /**
+     * True if `self` must read at the source, as a reader of the fleet or as a reader of a cell
+     * that hears too few of those.
+     */
     bool shouldRead(const FleetDirectory &directory, const MemberInfo &self, Instant now) const;
 
 private:
-    struct Heard
+    struct ReceivedAnnouncement
     {
-        ReaderAnnouncement note;
-        Instant at {};
+        ReaderAnnouncement announcement;
+        Instant receivedAt {};
     };
 
-    std::map<MemberId, Heard> m_heard;
+    std::map<MemberId, ReceivedAnnouncement> m_announcements;
 };
 
 } // namespace Apricothook
--- a/packages/fleetview/apricothook/fleetview/apricothook_source_outage.cpp
+++ b/packages/fleetview/apricothook/fleetview/apricothook_source_outage.cpp
@@ -8,14 +8,14 @@
         m_since = m_since.value_or(now);
         return;
     }
-    if (lasts(now))
+    if (isOngoing(now))
         m_ended = now;
     m_since.reset();
 }
 
 Instant SourceOutage::removalsUncertainUntil(Instant now) const
 {
-    if (lasts(now))
+    if (isOngoing(now))
         return now + ReregistrationTime;
     return m_ended ? *m_ended + ReregistrationTime : Instant::min();
 }
--- a/packages/fleetview/apricothook/fleetview/apricothook_source_outage.hpp
+++ b/packages/fleetview/apricothook/fleetview/apricothook_source_outage.hpp
@@ -6,43 +6,44 @@
 
 namespace Apricothook {
 
-/** What the daemons of a cell tell of the published items' source. */
+/** Whether the daemons of a cell reach the source of the published items. */
 struct SourceReachability
 {
-    /** Some daemon's last call was answered. */
+    /** The last call of at least one daemon succeeded. */
     bool anyReachable = false;
-    /** Some daemon's last call failed. */
+    /** The last call of at least one daemon failed. */
     bool anyFailed = false;
 
     auto operator<=>(const SourceReachability &) const = default;
 };
 
 /**
- * Tells an outage of the source from one that turns single VMs away.
+ * Distinguishes an outage of the source from a source that rejects single VMs.
  *
- * Entries of targets lapse in an outage though the targets live, and come back within some two
- * seconds of its end. A removal that is heard then is doubtful; one that is heard while some daemon
- * of the cell reaches the source is true, and its target must get nothing more.
+ * During an outage, entries of live targets expire; they are registered again within about two
+ * seconds after its end. Removals received in this time are therefore unreliable. A removal
+ * received while any daemon of the cell reaches the source is reliable, and its target must get no
+ * more requests.
  */
 class SourceOutage
 {
 public:
-    /** Targets register again within about two seconds of the source's return. */
+    /** Targets register again within about two seconds after the source is back. */
     static constexpr std::chrono::milliseconds ReregistrationTime {2500};
     /**
-     * When both readers of a cell are turned away, the next in it reach the source within two
-     * ticks; entries live longer than that without their targets' word.
+     * Shorter failures don't count as an outage. If the source rejects both readers of a cell, the
+     * next ones in the cell reach it within two ticks, and entries don't expire that soon.
      */
     static constexpr std::chrono::milliseconds ShortestOutage {500};
 
     void note(const SourceReachability &contact, Instant now);
-    /** A removal that is heard now may be an entry that has lapsed. */
+    /** True if a removal received now may be due to an expired entry of a live target. */
     bool mayHaveExpired(Instant now) const { return now < removalsUncertainUntil(now); }
-    /** Until then removals are doubtful; in the past when they aren't. */
+    /** Time until which removals are unreliable; in the past if they aren't. */
     Instant removalsUncertainUntil(Instant now) const;
 
 private:
-    bool lasts(Instant now) const { return m_since && now - *m_since >= ShortestOutage; }
+    bool isOngoing(Instant now) const { return m_since && now - *m_since >= ShortestOutage; }
 
     std::optional<Instant> m_since;
     std::optional<Instant> m_ended;
--- a/packages/fleetview/tests/apricothook_cold_view_tracker_tests.cpp
+++ b/packages/fleetview/tests/apricothook_cold_view_tracker_tests.cpp
@@ -15,30 +15,30 @@
 const Endpoint Own {"10.0.0.9", 1};
 const std::vector<Endpoint> Seeds {{"10.0.0.1", 1}, {"10.0.0.2", 1}, Own};
 
-struct OutlookBench
+struct TrackerBench
 {
     ManualClock clock;
     FleetDirectory directory {MemberId("self")};
-    ColdViewTracker outlook {directory, Seeds, Own, milliseconds(1200)};
-    ItemReach items {true, true};
+    ColdViewTracker tracker {directory, Seeds, Own, milliseconds(1200)};
+    ItemReachability items {true, true};
 
-    OutlookBench() { directory.review(clock.now()); }
+    TrackerBench() { directory.review(clock.now()); }
     void hear(const std::string &member, const Endpoint &address = {})
     {
-        MemberInfo brief;
-        brief.member = MemberId(member);
-        brief.isReady = true;
-        brief.beaconAddress = address;
-        directory.update(brief, clock.now());
+        MemberInfo info;
+        info.member = MemberId(member);
+        info.isReady = true;
+        info.beaconAddress = address;
+        directory.update(info, clock.now());
     }
     void hearSeeds()
     {
         hear("seed1", Seeds[0]);
         hear("seed2", Seeds[1]);
     }
-    ColdTargetSenders review() { return outlook.review(items, clock.now()); }
+    ColdTargetSenders review() { return tracker.review(items, clock.now()); }
     ColdView view() { return review().view; }
-    /** Passes its first seconds, with the seeds and these members. */
+    /** Lets the start-up time pass while the seeds and these members are heard. */
     ColdView startedAndHeard(const std::vector<std::string> &members)
     {
         const auto hearAll = [&] {
@@ -52,7 +52,7 @@
         hearAll();
         return view();
     }
-    /** Reviews while nobody is heard. */
+    /** Lets time pass without any heartbeats. */
     ColdView viewAfter(milliseconds time)
     {
         constexpr milliseconds Pause {100};
@@ -68,26 +68,26 @@
 
 } // namespace
 
-TEST_CASE("one part of a fleet that is cut is its main part, and its silent members stay counted")
+TEST_CASE("only one side of a network partition is the main part, and it still counts the others")
 {
-    // Targets that have just started crash anew: both sides of a cut take themselves for the fleet,
-    // and each sends them what one may.
-    OutlookBench bench;
+    // If both sides of a network partition considered themselves the whole fleet, each would send
+    // the load that the fleet may send to targets that have just started, and these would crash.
+    TrackerBench bench;
     bench.hearSeeds();
     bench.hear("a");
     bench.hear("b");
-    // Until it has heard of nobody new for a while it may know a part only.
+    // The daemon may not know all members until no new ones have appeared for a while.
     CHECK(bench.view() == ColdView::Alone);
     CHECK(bench.startedAndHeard({"a", "b"}) == ColdView::Main);
     CHECK(bench.review().members.size() == 5);
     bench.viewAfter(milliseconds(1500));
     bench.hear("seed1", Seeds[0]);
-    // Itself and one seed are most seeds, but two of five members aren't most of them.
+    // Two of three seeds are a majority, but two of five members aren't.
     CHECK(bench.view() == ColdView::Outside);
     CHECK(bench.review().members.size() == 5);
     bench.hear("a");
     CHECK(bench.view() == ColdView::Main);
-    // Without most seeds it isn't the main part, however many members it hears.
+    // Without a majority of the seeds it isn't the main part, however many members it hears.
     bench.viewAfter(milliseconds(1500));
     for (const char *member : {"a", "b", "c", "d"})
         bench.hear(member);
@@ -96,15 +96,16 @@
         bench.hear(member);
     CHECK(bench.viewAfter(milliseconds(400)) == ColdView::Outside);
     CHECK(bench.review().members.size() == 7);
-    bench.viewAfter(FleetDirectory::AddressLimit + milliseconds(100));
+    bench.viewAfter(FleetDirectory::AddressRetention + milliseconds(100));
     CHECK(bench.review().members.size() == 1);
 }
 
-TEST_CASE("while parts of a fleet find each other no daemon takes itself for a target's sender")
+TEST_CASE("no daemon becomes a target's sender while a partition heals")
 {
-    // A target crashes anew: names come one after the other, and with each another daemon takes
-    // itself for the first. Four of them sent to one target within a second.
-    OutlookBench bench;
+    // When a partition heals, members are discovered one after the other, and with each of them
+    // another daemon would consider itself the first for a target. Four daemons sent to the same
+    // target within a second, which makes it crash.
+    TrackerBench bench;
     REQUIRE(bench.startedAndHeard({}) == ColdView::Main);
     bench.hear("a");
     CHECK(bench.view() != ColdView::Main);
@@ -115,16 +116,16 @@
     CHECK(bench.view() != ColdView::Main);
     bench.viewAfter(milliseconds(500));
     CHECK(bench.view() == ColdView::Main);
-    // One that is heard again was counted all the time.
+    // A member that is heard again isn't new.
     bench.hear("a");
     CHECK(bench.view() == ColdView::Main);
 }
 
-TEST_CASE("a daemon that nothing reached doubts all targets until it has caught up")
+TEST_CASE("a daemon that was cut off treats all targets as cold until it has caught up")
 {
-    // Targets crash anew: an evacuation began and ended while a daemon was cut off. When it hears
-    // somebody again it doesn't know that yet.
-    OutlookBench bench;
+    // An evacuation begins and ends while a daemon is cut off. When the daemon is connected again,
+    // it doesn't know yet that targets have become cold, and its load would make them crash.
+    TrackerBench bench;
     bench.hearSeeds();
     REQUIRE(bench.startedAndHeard({}) == ColdView::Main);
     bench.items = {false, false};
@@ -135,9 +136,9 @@
     CHECK(bench.viewAfter(ColdViewTracker::CatchUpTime) != ColdView::Doubtful);
 }
 
-TEST_CASE("a daemon that stood still doubts all targets until it has caught up")
+TEST_CASE("a daemon whose process was paused treats all targets as cold until it has caught up")
 {
-    OutlookBench bench;
+    TrackerBench bench;
     bench.hearSeeds();
     REQUIRE(bench.startedAndHeard({}) == ColdView::Main);
     bench.clock.advance(seconds(8));
@@ -146,21 +147,21 @@
     CHECK(bench.viewAfter(ColdViewTracker::CatchUpTime) != ColdView::Doubtful);
 }
 
-TEST_CASE("a daemon that has just started doubts all targets until they have written again")
+TEST_CASE("a daemon that has just started treats all targets as cold until they have written again")
 {
-    // Targets crash anew: an evacuation ended just before a daemon started, its targets turned cold
-    // with it, and the entries that the daemon has read are of before.
-    OutlookBench bench;
+    // An evacuation ends just before a daemon starts, which leaves its targets cold. The daemon has
+    // read entries from before that end, and its load would make the targets crash.
+    TrackerBench bench;
     bench.hearSeeds();
     bench.view();
     CHECK(bench.viewAfter(milliseconds(400)) == ColdView::Doubtful);
     bench.viewAfter(milliseconds(1200));
     bench.hearSeeds();
     CHECK(bench.view() == ColdView::Main);
-    // What others read comes later.
+    // Items that other daemons read arrive later.
     bench.items = {false, true};
     CHECK(bench.view() == ColdView::Doubtful);
-    bench.viewAfter(ColdViewTracker::OthersReadingTime);
+    bench.viewAfter(ColdViewTracker::RelayedReadLatency);
     bench.hearSeeds();
     CHECK(bench.view() == ColdView::Main);
 }
--- a/packages/fleetview/tests/apricothook_fleet_directory_tests.cpp
+++ b/packages/fleetview/tests/apricothook_fleet_directory_tests.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-MemberInfo brief(const std::string &member, std::uint32_t age = 0)
+MemberInfo memberInfo(const std::string &member, std::uint32_t age = 0)
 {
     MemberInfo made;
     made.member = MemberId(member);
@@ -26,15 +26,15 @@
     ManualClock clock;
     FleetDirectory directory {MemberId("self")};
 
-    void take(const MemberInfo &brief)
+    void take(const MemberInfo &info)
     {
-        directory.update(brief, clock.now());
+        directory.update(info, clock.now());
         directory.review(clock.now());
     }
     void fleet(std::size_t others)
     {
         for (std::size_t index = 0; index < others; ++index)
-            take(brief("m" + std::to_string(index)));
+            take(memberInfo("m" + std::to_string(index)));
     }
     void pass(std::chrono::milliseconds time)
     {
@@ -47,10 +47,10 @@
 
 } // namespace
 
-TEST_CASE("a silent member leaves lookups soon and the count of known ones later")
+TEST_CASE("a silent member soon stops counting as live, and later as known")
 {
     Bench bench;
-    bench.take(brief("a"));
+    bench.take(memberInfo("a"));
     bench.pass(std::chrono::milliseconds(900));
     CHECK(bench.live() == 2);
     bench.pass(std::chrono::milliseconds(200));
@@ -59,36 +59,36 @@
     bench.pass(FleetDirectory::KnownLimit);
     CHECK(bench.known() == 1);
     CHECK(bench.directory.members().size() == 1);
-    bench.pass(FleetDirectory::AddressLimit);
+    bench.pass(FleetDirectory::AddressRetention);
     CHECK(bench.directory.members().empty());
 }
 
-TEST_CASE("word of a dead member that goes round doesn't make it live")
+TEST_CASE("gossip about a dead member doesn't make it live")
 {
-    // Callers aren't sent to a daemon that died. Others still pass its name on; with it goes the
-    // time since it was heard itself.
+    // Daemons still forward the name of a daemon that has died, and callers must not be sent to it.
+    // The forwarded information includes the time since the member itself was heard.
     Bench bench;
-    bench.take(brief("a"));
+    bench.take(memberInfo("a"));
     bench.pass(std::chrono::milliseconds(800));
-    bench.take(brief("a", 700));
+    bench.take(memberInfo("a", 700));
     bench.pass(std::chrono::milliseconds(1000));
-    bench.take(brief("a", 1800));
+    bench.take(memberInfo("a", 1800));
     CHECK(bench.live() == 1);
-    bench.take(brief("a", 10));
+    bench.take(memberInfo("a", 10));
     CHECK(bench.live() == 2);
 }
 
-TEST_CASE("a member that leaves isn't counted as one that may be cut off")
+TEST_CASE("a leaving member isn't counted as known once it is silent")
 {
     Bench bench;
-    MemberInfo leaving = brief("a");
+    MemberInfo leaving = memberInfo("a");
     leaving.isLeaving = true;
     bench.take(leaving);
     bench.pass(std::chrono::seconds(2));
     CHECK(bench.known() == 1);
 }
 
-TEST_CASE("a fleet of sixteen is one cell, a larger one makes cells of eight to sixteen")
+TEST_CASE("a fleet of sixteen is one cell, a larger one has cells of eight to sixteen")
 {
     Bench bench;
     bench.fleet(15);
@@ -105,19 +105,19 @@
     CHECK(bench.directory.membersOfCell(weights.own).size() + 1 == weights.weights[weights.own]);
 }
 
-TEST_CASE("daemons agree on the cells whatever they heard first")
+TEST_CASE("daemons agree on the cells whatever the order of discovery")
 {
     Bench one;
     one.fleet(60);
     Bench other;
     for (std::size_t index = 60; index-- > 0;)
-        other.take(brief("m" + std::to_string(index)));
+        other.take(memberInfo("m" + std::to_string(index)));
     CHECK(one.directory.cells() == other.directory.cells());
     CHECK(one.directory.weights(one.clock.now()).weights
           == other.directory.weights(other.clock.now()).weights);
 }
 
-TEST_CASE("a death moves no other member to another cell")
+TEST_CASE("members stay in their cells when others die")
 {
     Bench bench;
     bench.fleet(60);
@@ -126,14 +126,14 @@
         before[id] = member.cell;
     bench.pass(std::chrono::milliseconds(5000));
     for (std::size_t index = 0; index < 40; ++index)
-        bench.take(brief("m" + std::to_string(index)));
+        bench.take(memberInfo("m" + std::to_string(index)));
     for (const auto &[id, member] : bench.directory.members())
         CHECK(before[id] == member.cell);
     const CellWeights weights = bench.directory.weights(bench.clock.now());
     CHECK(std::accumulate(weights.weights.begin(), weights.weights.end(), 0U) == 41);
 }
 
-TEST_CASE("a sample has as many members as are asked for, and each time others")
+TEST_CASE("a sample has the requested number of members and varies")
 {
     Bench bench;
     bench.fleet(60);
@@ -146,14 +146,14 @@
     CHECK(few.directory.sample(16, random, few.clock.now()).size() == 3);
 }
 
-TEST_CASE("two daemons of a cell read at the source, the largest first")
+TEST_CASE("the two daemons of a cell with the largest capacity read at the source")
 {
     Bench bench;
-    MemberInfo self = brief("self");
+    MemberInfo self = memberInfo("self");
     self.capacity = 12;
     CHECK(bench.directory.isReader(self, bench.clock.now()));
     for (const char *name : {"a", "b", "c"}) {
-        MemberInfo large = brief(name);
+        MemberInfo large = memberInfo(name);
         large.capacity = 50;
         bench.take(large);
     }
@@ -162,24 +162,23 @@
     CHECK(bench.directory.isReader(self, bench.clock.now()));
 }
 
-TEST_CASE(
-    "more daemons read while the source turns some away, as it may turn their successors away")
+TEST_CASE("more daemons read while the source rejects some, as it may also reject their successors")
 {
-    // Callers are served by a new configuration in time. The source falls silent for half of the
-    // VMs, both readers among them; of two successors one is silent too, and shows it only after as
-    // long again.
+    // The source stops answering half of the VMs, both readers among them. One of the two
+    // successors gets no answer either, which is noticed only after a second timeout. A new
+    // configuration must still take effect in time.
     Bench bench;
-    MemberInfo self = brief("self");
+    MemberInfo self = memberInfo("self");
     self.capacity = 12;
     for (const char *name : {"a", "b", "c", "d"}) {
-        MemberInfo larger = brief(name);
+        MemberInfo larger = memberInfo(name);
         larger.capacity = 50;
         bench.take(larger);
     }
     REQUIRE_FALSE(bench.directory.isReader(self, bench.clock.now()));
     bench.pass(std::chrono::milliseconds(1));
     for (const char *name : {"a", "b"}) {
-        MemberInfo silenced = brief(name);
+        MemberInfo silenced = memberInfo(name);
         silenced.capacity = 50;
         silenced.hasLostSource = true;
         bench.take(silenced);
@@ -187,15 +186,15 @@
     CHECK(bench.directory.isReader(self, bench.clock.now()));
 }
 
-TEST_CASE("readers that lost the source, fell silent or leave are replaced")
+TEST_CASE("readers that have lost the source, are silent or leave are replaced")
 {
-    // Callers are served by new configurations though the source turns the readers away: the next
-    // in the cell take over, and when nobody is left, all try.
+    // New configurations must take effect even if the source rejects the readers: the next daemons
+    // of the cell take over, and if none is left, all daemons try to read.
     Bench bench;
-    MemberInfo self = brief("self");
+    MemberInfo self = memberInfo("self");
     self.capacity = 12;
-    MemberInfo one = brief("a");
-    MemberInfo other = brief("b");
+    MemberInfo one = memberInfo("a");
+    MemberInfo other = memberInfo("b");
     one.capacity = other.capacity = 50;
     bench.take(one);
     bench.take(other);
@@ -212,18 +211,19 @@
     bench.take(one);
     CHECK(bench.directory.sourceReachability(self, bench.clock.now())
           == SourceReachability {true, false});
-    // The other one has been silent for longer than a second.
+    // The other reader has been silent for longer than a second.
     bench.pass(std::chrono::milliseconds(200));
     CHECK(bench.directory.isReader(self, bench.clock.now()));
     self.hasLostSource = true;
     CHECK(bench.directory.isReader(self, bench.clock.now()));
 }
 
-TEST_CASE("a fleet at the border of two numbers of cells keeps the one that it has")
+TEST_CASE("a fleet whose size is between two numbers of cells keeps the number that it has")
 {
-    // Callers are served by the cell's own part of the targets, and find the daemons that live.
-    // Of 259 daemons some three aren't heard of at any time, and 256 are sixteen full cells. A
-    // daemon that changed to and fro missed a third of the others for a second at a time.
+    // Of 259 daemons, about three aren't heard of at any time, and 256 daemons are sixteen full
+    // cells. A daemon that alternated between two numbers of cells lost a third of the others for a
+    // second each time: its cell's part of the targets changed, and lookups didn't return these
+    // daemons.
     Bench bench;
     bench.fleet(258);
     REQUIRE(bench.directory.cells() == 32);
@@ -236,7 +236,7 @@
     CHECK(bench.directory.cells() == 32);
     hearOnly(190);
     CHECK(bench.directory.cells() == 16);
-    // One that has just started hears from the others how many cells there are.
+    // A daemon that has just started learns the number of cells from the others.
     Bench started;
     started.fleet(250);
     REQUIRE(started.directory.cells() == 16);
@@ -247,16 +247,16 @@
     CHECK(started.directory.cells() == 32);
 }
 
-TEST_CASE("a daemon knows the fleet when most seeds are heard and nobody new comes")
+TEST_CASE("a daemon has discovered the fleet when most seeds are heard and no new members appear")
 {
-    // Daemons that all start while they are cut in two don't take each side for the fleet.
+    // Daemons that start during a network partition must not take their side for the whole fleet.
     Bench bench;
     const std::vector<Endpoint> seeds {{"10.0.0.1", 1}, {"10.0.0.2", 1}, {"10.0.0.3", 1}};
     const Endpoint own {"10.0.0.9", 1};
     const auto knows
         = [&] { return bench.directory.hasDiscoveredFleet(seeds, own, bench.clock.now()); };
     const auto takeSeed = [&](std::size_t index) {
-        MemberInfo seed = brief("seed" + std::to_string(index));
+        MemberInfo seed = memberInfo("seed" + std::to_string(index));
         seed.beaconAddress = seeds[index];
         bench.take(seed);
     };
@@ -270,14 +270,14 @@
     alone.pass(std::chrono::milliseconds(500));
     CHECK(alone.directory.hasDiscoveredFleet({own}, own, alone.clock.now()));
     CHECK_FALSE(alone.directory.hasDiscoveredFleet(seeds, own, alone.clock.now()));
-    alone.pass(FleetDirectory::LoneTime);
+    alone.pass(FleetDirectory::SeedTimeout);
     CHECK(alone.directory.hasDiscoveredFleet(seeds, own, alone.clock.now()));
 }
 
-TEST_CASE("callers aren't named a daemon that was last heard many seconds ago")
+TEST_CASE("callers aren't sent to a daemon that was last heard many seconds ago")
 {
-    // A caller connects to a daemon that died ten seconds ago. The daemon was of another cell, and
-    // in a fleet of many cells that counts as live until its next summaries have been missed.
+    // A caller connects to a daemon of another cell that died ten seconds ago. In a fleet of many
+    // cells, such a daemon counts as live until several summaries of its cell have been missed.
     Bench bench;
     bench.fleet(300);
     REQUIRE(bench.directory.otherCellLimit() > std::chrono::seconds(10));
--- a/packages/fleetview/tests/apricothook_fleet_size_tests.cpp
+++ b/packages/fleetview/tests/apricothook_fleet_size_tests.cpp
@@ -8,14 +8,14 @@
 
 namespace {
 
-const std::chrono::milliseconds Beat {200};
+const std::chrono::milliseconds HeartbeatInterval {200};
 
 Endpoint addressOf(std::size_t number)
 {
     return {"10.0.0.1", static_cast<std::uint16_t>(number)};
 }
 
-/** The daemon with number 9, and others before it; numbers 1 to 3 are seeds. */
+/** Daemon number 9 of a fleet whose daemons 1 to 3 are the seeds. */
 struct Bench
 {
     static constexpr std::size_t Own = 9;
@@ -24,27 +24,27 @@
     FleetDirectory directory {MemberId("vm-9")};
     FleetSize size {directory, {addressOf(1), addressOf(2), addressOf(3)}, addressOf(Own)};
 
-    /** Hears the daemons all the while. */
+    /** Lets `time` pass while the daemons from `first` to `last` are heard. */
     void hear(std::size_t first, std::size_t last, std::chrono::milliseconds time)
     {
-        for (std::chrono::milliseconds passed {}; passed < time; passed += Beat) {
+        for (std::chrono::milliseconds passed {}; passed < time; passed += HeartbeatInterval) {
             for (std::size_t number = first; number <= last; ++number) {
-                MemberInfo brief;
-                brief.member = MemberId("vm-" + std::to_string(number));
-                brief.beaconAddress = addressOf(number);
-                directory.update(brief, clock.now());
+                MemberInfo info;
+                info.member = MemberId("vm-" + std::to_string(number));
+                info.beaconAddress = addressOf(number);
+                directory.update(info, clock.now());
             }
             review();
         }
     }
     void hearNobody(std::chrono::milliseconds time)
     {
-        for (std::chrono::milliseconds passed {}; passed < time; passed += Beat)
+        for (std::chrono::milliseconds passed {}; passed < time; passed += HeartbeatInterval)
             review();
     }
     void review()
     {
-        clock.advance(Beat);
+        clock.advance(HeartbeatInterval);
         directory.review(clock.now());
         size.review(clock.now());
     }
@@ -52,7 +52,7 @@
 
 } // namespace
 
-TEST_CASE("the fleet's size is unknown until most seeds and all names are heard")
+TEST_CASE("the fleet's size is unknown until most seeds and all members have been heard")
 {
     Bench bench;
     bench.hearNobody(std::chrono::seconds(30));
@@ -69,12 +69,12 @@
     bench.hear(1, 8, std::chrono::seconds(2));
     bench.hearNobody(std::chrono::minutes(10));
     CHECK(bench.size.daemons() == 9);
-    // One seed may be on the same side of a cut.
+    // One of the seeds may be on the same side of the partition.
     bench.hear(3, 5, std::chrono::minutes(10));
     CHECK(bench.size.daemons() == 9);
 }
 
-TEST_CASE("the fleet's size falls where most seeds are heard and others have been silent")
+TEST_CASE("the fleet's size decreases if most seeds are heard and other members are silent")
 {
     Bench bench;
     bench.hear(1, 8, std::chrono::seconds(2));
@@ -84,13 +84,13 @@
     CHECK(bench.size.daemons() == 5);
 }
 
-TEST_CASE("a daemon without other seeds is the fleet")
+TEST_CASE("a daemon that is the only seed is a fleet of one")
 {
     ManualClock clock;
     FleetDirectory directory(MemberId("vm-9"));
     FleetSize size(directory, {addressOf(9)}, addressOf(9));
     for (int turn = 0; turn < 10; ++turn) {
-        clock.advance(Beat);
+        clock.advance(HeartbeatInterval);
         directory.review(clock.now());
         size.review(clock.now());
     }
--- a/packages/fleetview/tests/apricothook_item_replica_tests.cpp
+++ b/packages/fleetview/tests/apricothook_item_replica_tests.cpp
@@ -14,105 +14,106 @@
     return {key, value, revision};
 }
 
-struct Told
+struct RecordingReplica
 {
     std::vector<ItemChange> changes;
-    /** Values that tell peers nothing. */
-    std::string beat = "beat";
+    /** Value of a write that is insignificant to peers. */
+    std::string heartbeat = "beat";
     ItemReplica replica {[this](const ItemChange &change) {
         changes.push_back(change);
-        return change.value != beat;
+        return change.value != heartbeat;
     }};
 };
 
 } // namespace
 
-TEST_CASE("a change is told once, whatever source tells it again")
+TEST_CASE("a change is reported once, even if it is received repeatedly")
 {
-    Told told;
-    told.replica.apply({{written("a", "1", 5)}, false, 5});
-    told.replica.apply({{written("a", "1", 5)}, false, 5});
-    told.replica.apply({{written("a", "0", 4)}, false, 4});
-    CHECK(told.changes == std::vector<ItemChange> {written("a", "1", 5)});
-    CHECK(told.replica.revision() == 5);
+    RecordingReplica recorder;
+    recorder.replica.apply({{written("a", "1", 5)}, false, 5});
+    recorder.replica.apply({{written("a", "1", 5)}, false, 5});
+    recorder.replica.apply({{written("a", "0", 4)}, false, 4});
+    CHECK(recorder.changes == std::vector<ItemChange> {written("a", "1", 5)});
+    CHECK(recorder.replica.revision() == 5);
 }
 
-TEST_CASE("a removed item isn't brought back by an older copy")
+TEST_CASE("a removed item isn't restored by an older copy")
 {
-    // A target that left gets no new requests. Its removal was heard from the source; a peer that
-    // lags behind still tells the entry.
-    Told told;
-    told.replica.apply({{written("a", "1", 5)}, false, 5});
-    told.replica.apply({{{"a", std::nullopt, 8}}, false, 8});
-    told.replica.apply({{written("a", "1", 5), written("b", "2", 6)}, true, 6});
-    CHECK(told.changes.size() == 3);
-    CHECK(told.changes.back() == written("b", "2", 6));
+    // The removal of a target has been received from the source, but a peer that lags behind still
+    // sends its entry. The target must get no new requests.
+    RecordingReplica recorder;
+    recorder.replica.apply({{written("a", "1", 5)}, false, 5});
+    recorder.replica.apply({{{"a", std::nullopt, 8}}, false, 8});
+    recorder.replica.apply({{written("a", "1", 5), written("b", "2", 6)}, true, 6});
+    CHECK(recorder.changes.size() == 3);
+    CHECK(recorder.changes.back() == written("b", "2", 6));
 }
 
-TEST_CASE("what a whole listing lacks was removed in the gap")
+TEST_CASE("items missing from a complete listing are removed")
 {
-    // The source forgot its history while a target left. The listing after the gap shows it by the
-    // entry's absence; an entry that is newer than the listing stays.
-    Told told;
-    told.replica.apply({{written("a", "1", 5), written("b", "2", 6)}, true, 6});
-    told.replica.apply({{written("c", "3", 20)}, false, 20});
-    told.replica.apply({{written("b", "2", 6)}, true, 12});
-    CHECK(told.changes.back() == ItemChange {"a", std::nullopt, 12});
-    CHECK(told.changes.size() == 4);
+    // A target leaves, and the source has dropped that part of its history. The complete listing
+    // that is read instead no longer contains the entry. Entries newer than the listing must stay.
+    RecordingReplica recorder;
+    recorder.replica.apply({{written("a", "1", 5), written("b", "2", 6)}, true, 6});
+    recorder.replica.apply({{written("c", "3", 20)}, false, 20});
+    recorder.replica.apply({{written("b", "2", 6)}, true, 12});
+    CHECK(recorder.changes.back() == ItemChange {"a", std::nullopt, 12});
+    CHECK(recorder.changes.size() == 4);
 }
 
-TEST_CASE("a peer gets what it lacks, or everything")
+TEST_CASE("a peer gets the changes that it lacks, or all items")
 {
-    Told told;
-    told.replica.apply({{written("a", "1", 5), written("b", "2", 6)}, true, 6});
-    told.replica.apply({{written("c", "3", 9)}, false, 9});
-    told.replica.apply({{{"a", std::nullopt, 10}}, false, 10});
-    const ItemUpdate some = told.replica.since(9);
+    RecordingReplica recorder;
+    recorder.replica.apply({{written("a", "1", 5), written("b", "2", 6)}, true, 6});
+    recorder.replica.apply({{written("c", "3", 9)}, false, 9});
+    recorder.replica.apply({{{"a", std::nullopt, 10}}, false, 10});
+    const ItemUpdate some = recorder.replica.since(9);
     CHECK_FALSE(some.isSnapshot);
     CHECK(some.changes == std::vector<ItemChange> {{"a", std::nullopt, 10}});
-    const ItemUpdate all = told.replica.since(2);
+    const ItemUpdate all = recorder.replica.since(2);
     CHECK(all.isSnapshot);
     CHECK(all.changes.size() == 2);
-    CHECK(told.replica.since(0).isSnapshot);
+    CHECK(recorder.replica.since(0).isSnapshot);
 
-    Told peer;
+    RecordingReplica peer;
     peer.replica.apply(all);
     CHECK(peer.replica.revision() == 10);
     peer.replica.apply(parseItemUpdate(writeItemUpdate(some)).value());
-    CHECK(peer.replica.since(0) == told.replica.since(0));
+    CHECK(peer.replica.since(0) == recorder.replica.since(0));
 }
 
-TEST_CASE("peers aren't told of a change that only says that a target lives")
+TEST_CASE("heartbeats of targets aren't forwarded to peers")
 {
-    // Daemons of a large fleet spend their links on entries that say the same again. What a peer
-    // lacks is told whole, with the latest word of each item.
-    Told told;
-    told.replica.apply({{written("a", "1", 5), written("b", "1", 6)}, true, 6});
-    CHECK(told.replica.relevantRevision() == 0);
-    CHECK(told.replica.advertisedRevision() == 6);
-    told.replica.apply({{written("a", told.beat, 7)}, false, 7});
-    CHECK(told.replica.revision() == 7);
-    CHECK(told.replica.relevantRevision() == 0);
-    CHECK(told.replica.since(6).changes.empty());
-    told.replica.apply({{written("b", "2", 8)}, false, 8});
-    CHECK(told.replica.relevantRevision() == 8);
-    CHECK(told.replica.since(6).changes == std::vector<ItemChange> {written("b", "2", 8)});
-    CHECK(told.replica.since(0).changes
-          == std::vector<ItemChange> {written("a", told.beat, 7), written("b", "2", 8)});
+    // Forwarding entries that repeat known values would use up the network links of a large fleet.
+    // A peer that requests all items must still get the latest value of each.
+    RecordingReplica recorder;
+    recorder.replica.apply({{written("a", "1", 5), written("b", "1", 6)}, true, 6});
+    CHECK(recorder.replica.relevantRevision() == 0);
+    CHECK(recorder.replica.advertisedRevision() == 6);
+    recorder.replica.apply({{written("a", recorder.heartbeat, 7)}, false, 7});
+    CHECK(recorder.replica.revision() == 7);
+    CHECK(recorder.replica.relevantRevision() == 0);
+    CHECK(recorder.replica.since(6).changes.empty());
+    recorder.replica.apply({{written("b", "2", 8)}, false, 8});
+    CHECK(recorder.replica.relevantRevision() == 8);
+    CHECK(recorder.replica.since(6).changes == std::vector<ItemChange> {written("b", "2", 8)});
+    CHECK(recorder.replica.since(0).changes
+          == std::vector<ItemChange> {written("a", recorder.heartbeat, 7), written("b", "2", 8)});
 }
 
-TEST_CASE("a long history is cut and answered with everything")
+TEST_CASE("the history is limited, and a peer that is further behind gets all items")
 {
-    Told told;
-    told.replica.apply({{written("a", "1", 1)}, true, 1});
-    for (Revision revision = 2; revision < 2 * ItemReplica::KeptChanges; ++revision)
-        told.replica.apply({{written("a", std::to_string(revision), revision)}, false, revision});
-    CHECK(told.replica.since(3).isSnapshot);
-    CHECK(told.replica.since(3).changes.size() == 1);
-    CHECK_FALSE(told.replica.since(2 * ItemReplica::KeptChanges - 10).isSnapshot);
+    RecordingReplica recorder;
+    recorder.replica.apply({{written("a", "1", 1)}, true, 1});
+    for (Revision revision = 2; revision < 2 * ItemReplica::HistoryLimit; ++revision)
+        recorder.replica.apply(
+            {{written("a", std::to_string(revision), revision)}, false, revision});
+    CHECK(recorder.replica.since(3).isSnapshot);
+    CHECK(recorder.replica.since(3).changes.size() == 1);
+    CHECK_FALSE(recorder.replica.since(2 * ItemReplica::HistoryLimit - 10).isSnapshot);
 }
 
-TEST_CASE("peers' messages about items are checked")
+TEST_CASE("malformed item requests and updates of peers are rejected")
 {
     CHECK(requestedRevision(peerItemsPath(17)) == Revision(17));
     CHECK_FALSE(requestedRevision("/items?after=x"));
--- a/packages/fleetview/tests/apricothook_peer_datagram_tests.cpp
+++ b/packages/fleetview/tests/apricothook_peer_datagram_tests.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-MemberInfo brief(const std::string &member)
+MemberInfo memberInfo(const std::string &member)
 {
     return {.member = MemberId(member),
             .process = Incarnation(7),
@@ -32,29 +32,29 @@
 }
 
 const std::vector<PeerDatagram> All {
-    Heartbeat {brief("a"), 99, report()},
+    Heartbeat {memberInfo("a"), 99, report()},
     report(),
-    CellSummary {2, 8, 77, {brief("a"), brief("b")}},
-    MemberGossip {brief("a"), true, true, {brief("c")}},
+    CellSummary {2, 8, 77, {memberInfo("a"), memberInfo("b")}},
+    MemberGossip {memberInfo("a"), true, true, {memberInfo("c")}},
     UnitsRequest {{7, {"10.0.0.1", 1}}, 3, 4, 5000, 900, 200, true},
     UnitsReply {7, 3, UnitsOutcome::Refused, 0, 60, 7000, 800, 90, {8, {"10.0.0.2", 1}}},
     GrantorClaim {{7, {"10.0.0.1", 1}}, 5, 4, false},
     GrantorHandover {9, 5, 4, 6000},
     ReachProbe {{"10.0.0.1", 1}, 11},
     ReachReply {11},
-    ReaderAnnouncement {brief("a"), 78},
+    ReaderAnnouncement {memberInfo("a"), 78},
     GrantorDenial {7, 5, 4},
 };
 
 } // namespace
 
-TEST_CASE("a datagram comes back as it was written")
+TEST_CASE("every kind of datagram survives a round trip")
 {
     for (const PeerDatagram &datagram : All)
         CHECK(parsePeerDatagram(writePeerDatagram(datagram)).value() == datagram);
 }
 
-TEST_CASE("a datagram that was cut, and one of an unknown kind, are errors")
+TEST_CASE("truncated datagrams and unknown kinds are errors")
 {
     for (const PeerDatagram &datagram : All) {
         const std::string whole = writePeerDatagram(datagram);
@@ -65,9 +65,9 @@
     CHECK(parsePeerDatagram("nonsense").error() == CodecError::UnknownKind);
 }
 
-TEST_CASE("what daemons of a cell tell each other often fits into small datagrams")
+TEST_CASE("frequent datagrams are small")
 {
-    // A load report goes to each of eleven mates up to 40 times a second.
+    // A load report is sent to each of eleven other daemons up to 40 times a second.
     CellLoadReport report;
     report.member = ~std::uint64_t {0};
     report.process = Incarnation(1700000000000);
@@ -76,12 +76,12 @@
         report.loads.push_back({~target, 3});
     CHECK(writePeerDatagram(report).size() <= 200);
 
-    // Names in a summary are of a usual length; it must not be split on the way.
+    // A summary with names of usual length must fit into one packet without fragmentation.
     CellSummary summary;
-    summary.members.assign(12, brief("edge-hall-a-12"));
+    summary.members.assign(12, memberInfo("edge-hall-a-12"));
     CHECK(writePeerDatagram(summary).size() <= 1472);
 
-    // Two of these go with nearly every request of a customer that has a limit.
+    // One of each is sent for nearly every request of a customer that has a limit.
     constexpr std::uint64_t Large = ~std::uint64_t {0};
     CHECK(writePeerDatagram(
               UnitsRequest {{Large, {"10.0.0.1", 8704}}, Large, Large, 60'000, 60'000, 0, false})
@@ -95,7 +95,7 @@
         <= 64);
 }
 
-TEST_CASE("no bytes of a stranger bring the reader of datagrams down")
+TEST_CASE("corrupted datagrams don't crash the parser")
 {
     DeterministicRandom random(20261202);
     std::size_t read = 0;
@@ -107,7 +107,7 @@
         bytes.resize(random.next() % 4 == 0 ? random.next() % bytes.size() : bytes.size());
         read += parsePeerDatagram(bytes) ? 1 : 0;
     }
-    // Most changes hit a name or a number, so that the reader comes far.
+    // Most modified bytes are part of a name or a number and leave the datagram parseable.
     CHECK(read > Inputs / 10);
     CHECK(read < Inputs);
 }
--- a/packages/fleetview/tests/apricothook_source_outage_tests.cpp
+++ b/packages/fleetview/tests/apricothook_source_outage_tests.cpp
@@ -6,7 +6,7 @@
 
 using namespace Apricothook;
 
-TEST_CASE("removals are doubtful in an outage and until targets have registered again")
+TEST_CASE("removals are unreliable during an outage and until targets have registered again")
 {
     ManualClock clock;
     SourceOutage outage;
@@ -21,7 +21,7 @@
     CHECK_FALSE(outage.mayHaveExpired(clock.now()));
 }
 
-TEST_CASE("a daemon that has asked nothing yet makes no outage")
+TEST_CASE("a source that no daemon has called yet isn't considered down")
 {
     ManualClock clock;
     SourceOutage outage;
--- a/packages/observe/apricothook/observe/apricothook_event_names.hpp
+++ b/packages/observe/apricothook/observe/apricothook_event_names.hpp
@@ -6,7 +6,7 @@
 
 enum class EventLevel { Info, Warning, Error };
 
-/** What the log needs to know of a numbered event. */
+/** Name and severity of a numbered event, as log lines show them. */
 struct EventName
 {
     int number;
@@ -14,7 +14,7 @@
     EventLevel level;
 };
 
-/** Null for a number that no package defines. */
+/** Returns null if no package defines the number. */
 const EventName *findEventName(int number);
 
 } // namespace Apricothook
--- a/packages/observe/apricothook/observe/apricothook_health_source.hpp
+++ b/packages/observe/apricothook/observe/apricothook_health_source.hpp
@@ -2,14 +2,16 @@
 
 namespace Apricothook {
 
-/** What /healthz and /readyz ask; called from the metrics thread. */
+/** Liveness and readiness behind /healthz and /readyz. Called from the metrics server's thread. */
 class HealthSource
 {
 public:
     virtual ~HealthSource() = default;
-    /** False when the core has stopped turning: the process is better restarted. */
+    /**
+     * False if the core's event loop has stalled, in which case the process should be restarted.
+     */
     virtual bool isAlive() const = 0;
-    /** True when callers may be sent here: configured, joined and not leaving. */
+    /** True if the daemon is configured, has joined the fleet and isn't leaving. */
     virtual bool isReady() const = 0;
 };
 
--- a/packages/observe/apricothook/observe/apricothook_log_session.cpp
+++ b/packages/observe/apricothook/observe/apricothook_log_session.cpp
@@ -10,7 +10,8 @@
     FLAGS_logtostderr = folder.empty();
     FLAGS_log_dir = folder;
     FLAGS_minloglevel = minimumLevel;
-    // A VM that dies takes unwritten lines with it, and those are the ones that are looked for.
+    // Writes each line at once: buffered lines would be lost in a crash of the VM, and they are the
+    // ones that explain it.
     FLAGS_logbufsecs = 0;
     google::InitGoogleLogging(m_program.c_str());
 }
--- a/packages/observe/apricothook/observe/apricothook_log_sink.cpp
+++ b/packages/observe/apricothook/observe/apricothook_log_sink.cpp
@@ -13,13 +13,13 @@
 google::LogSeverity severityOf(int number)
 {
     const EventName *name = findEventName(number);
-    // A number that isn't in the catalogue is a fault of ours; it must be seen.
+    // A number missing from the catalogue is a programming error, so it is logged as an error.
     if (!name || name->level == EventLevel::Error)
         return google::GLOG_ERROR;
     return name->level == EventLevel::Warning ? google::GLOG_WARNING : google::GLOG_INFO;
 }
 
-std::string clean(std::string text)
+std::string sanitize(std::string text)
 {
     const auto isControl = [](char byte) { return (byte >= 0 && byte < ' ') || byte == '\x7f'; };
     std::ranges::replace_if(text, isControl, '?');
@@ -30,14 +30,14 @@
 
 void LogSink::record(const DecisionEvent &event)
 {
-    const std::optional<std::uint64_t> leftOut = takeLine(event.number);
+    const std::optional<std::uint64_t> leftOut = admitLine(event.number);
     if (!leftOut)
         return;
     google::LogMessage("event", event.number, severityOf(event.number)).stream()
         << eventLine(event, *leftOut);
 }
 
-std::optional<std::uint64_t> LogSink::takeLine(int number)
+std::optional<std::uint64_t> LogSink::admitLine(int number)
 {
     const Instant now = m_clock.now();
     const std::lock_guard lock(m_mutex);
@@ -65,7 +65,7 @@
         line += " " + event.details;
     if (leftOut > 0)
         line += " left-out=" + std::to_string(leftOut);
-    return clean(std::move(line));
+    return sanitize(std::move(line));
 }
 
 } // namespace Apricothook
--- a/packages/observe/apricothook/observe/apricothook_log_sink.hpp
+++ b/packages/observe/apricothook/observe/apricothook_log_sink.hpp
@@ -12,12 +12,13 @@
 namespace Apricothook {
 
 /**
- * Writes events to the log, one line each, at the level that the catalogue gives. Safe to use from
- * any thread.
+ * Writes events to the log, one line each, at the severity given in the event catalogue.
+ * Thread-safe.
  *
- * A burst of refusals is thousands of lines a second; written out they would cost more than the
- * requests and push the one line that explains them out of sight. So each number gets a bounded
- * number of lines a second, and the next line tells how many were left out.
+ * A burst of refusals produces thousands of events a second. Logging all of them would cost more
+ * than handling the requests and would bury the one line that explains the burst. The lines per
+ * second are therefore limited for each event number, and the next line that is written states how
+ * many were suppressed.
  */
 class LogSink : public EventSink
 {
@@ -38,8 +39,11 @@
         std::uint64_t leftOut = 0;
     };
 
-    /** The number of lines left out before this one; nothing when this one is left out too. */
-    std::optional<std::uint64_t> takeLine(int number);
+    /**
+     * Number of lines suppressed since the last one written; nothing if this line must be
+     * suppressed as well.
+     */
+    std::optional<std::uint64_t> admitLine(int number);
 
     const Clock &m_clock;
     const std::uint32_t m_linesPerSecond;
@@ -47,7 +51,7 @@
     std::unordered_map<int, Budget> m_budgets;
 };
 
-/** The text of an event's line; control characters, which could forge a line, become '?'. */
+/** Formats an event's line. Replaces control characters with '?' to prevent log injection. */
 std::string eventLine(const DecisionEvent &event, std::uint64_t leftOut);
 
 } // namespace Apricothook
--- a/packages/observe/apricothook/observe/apricothook_metrics.cpp
+++ b/packages/observe/apricothook/observe/apricothook_metrics.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/** Fewer than for a class, as there are more customers than classes. */
+/** Coarser than the bounds for classes, because there are more customers than classes. */
 const prometheus::Histogram::BucketBoundaries CustomerBounds {0.05, 0.25, 0.46, 1, 5, 30, 120};
 
 constexpr std::array Results {RequestResult::Answered, RequestResult::AnsweredLate,
@@ -80,7 +80,9 @@
 
 } // namespace
 
-Metrics::Metrics() : m_tables(std::make_unique<MetricsTables>(CustomerPlaces, MaximumNames)) { }
+Metrics::Metrics() : m_tables(std::make_unique<MetricsTables>(MaximumCustomers, MaximumLabelValues))
+{
+}
 
 Metrics::~Metrics() = default;
 
@@ -170,7 +172,7 @@
 {
     MetricsTables &tables = *m_tables;
     const std::lock_guard lock(tables.mutex);
-    const std::optional<CustomerId> lost = tables.customers.rank(now);
+    const std::optional<CustomerId> lost = tables.customers.update(now);
     if (!lost)
         return;
     const std::string customer = lost->text();
--- a/packages/observe/apricothook/observe/apricothook_metrics.hpp
+++ b/packages/observe/apricothook/observe/apricothook_metrics.hpp
@@ -13,7 +13,7 @@
 
 class MetricsTables;
 
-/** A value that goes up and down. */
+/** Gauges of the daemon that have no labels. */
 enum class MetricGauge {
     Generation,
     LiveMembers,
@@ -28,55 +28,57 @@
     ColdTargets,
 };
 
-/** What became of prompt tokens that were sent to an engine. */
+/** How an engine processed the prompt tokens sent to it. */
 enum class PrefillUse {
-    Computed, ///< Worked out by an engine for an answer that was whole.
+    Computed, ///< Computed for an answer that was completed.
     Cached,   ///< Found in the engine's prefix cache.
-    Wasted,   ///< Worked out for an answer that never became whole.
+    Wasted,   ///< Computed for an answer that was never completed.
 };
 
 enum class Direction { Sent, Received };
 
 /**
- * What the daemon measures of itself; the names are in docs/METRICS.md. Safe to use from any
- * thread.
+ * The daemon's metrics. Their names are listed in docs/METRICS.md. Thread-safe.
  *
- * The number of series is bounded whatever callers send: tiers are nine at most, classes and
- * services get MaximumNames names of their own and customers CustomerPlaces; all others share
- * "other".
+ * The number of series is bounded whatever callers send: there are at most nine tiers,
+ * MaximumLabelValues classes and services each and MaximumCustomers customers with label values of
+ * their own. All others are counted under "other".
  */
 class Metrics
 {
 public:
-    static constexpr std::size_t CustomerPlaces = 32;
-    static constexpr std::size_t MaximumNames = 64;
+    static constexpr std::size_t MaximumCustomers = 32;
+    static constexpr std::size_t MaximumLabelValues = 64;
 
     Metrics();
     ~Metrics();
     Metrics(const Metrics &) = delete;
     Metrics &operator=(const Metrics &) = delete;
 
-    /** `took` from the request's arrival to the end of its answer or refusal. */
+    /** `took`: time from the request's arrival to the end of its answer or its refusal. */
     void requestEnded(const RequestLabels &labels, RequestResult result, Duration took);
     void refused(Tier tier, RefusalReason reason);
-    /** From the request's arrival to the first byte of its answer. */
+    /** `after`: time from the request's arrival to the first byte of its answer. */
     void timeToFirstToken(const RequestLabels &labels, Duration after);
-    /** The mean gap of an answer's tokens, or a single gap. */
+    /** `gap`: time between two tokens of an answer, or the mean of these times. */
     void interTokenLatency(const RequestLabels &labels, Duration gap);
-    /** From arrival to reservation. */
+    /** `waited`: time from the request's arrival to its reservation. */
     void queueWait(const RequestLabels &labels, Duration waited);
     void prefill(Tier tier, PrefillUse use, std::uint64_t tokens);
     void set(MetricGauge level, double value);
     void setRing(std::string_view ring, std::size_t items);
-    /** The lowest tier that a service admits. */
+    /** `lowest`: the lowest tier that the service admits. */
     void setFloor(const ServiceId &service, Tier lowest);
-    /** A request to the service would be sent again: the retry budget grants it or not. */
+    /** Counts a decision of the service's retry budget to grant or deny a retry. */
     void retryDecided(const ServiceId &service, bool isGranted);
     void controlBytes(Direction direction, std::uint64_t bytes);
-    /** Call about once a second: gives places to the customers with the most traffic. */
+    /**
+     * Reassigns the per-customer series to the customers with the most traffic. To be called about
+     * once a second.
+     */
     void updateTopCustomers(Instant now);
 
-    /** The text format of Prometheus. */
+    /** All metrics in the Prometheus text format. */
     std::string text() const;
 
 private:
--- a/packages/observe/apricothook/observe/apricothook_metrics_server.cpp
+++ b/packages/observe/apricothook/observe/apricothook_metrics_server.cpp
@@ -15,22 +15,23 @@
 namespace {
 
 constexpr unsigned int MaximumConnections = 16;
-constexpr unsigned int SilentSeconds = 10;
+constexpr unsigned int IdleTimeoutSeconds = 10;
 
-struct Page
+struct HttpResponse
 {
     unsigned int status;
     std::string body;
 };
 
-Page healthPage(bool isGood)
+HttpResponse healthResponse(bool isGood)
 {
-    return isGood ? Page {MHD_HTTP_OK, "yes\n"} : Page {MHD_HTTP_SERVICE_UNAVAILABLE, "no\n"};
+    return isGood ? HttpResponse {MHD_HTTP_OK, "yes\n"}
+                  : HttpResponse {MHD_HTTP_SERVICE_UNAVAILABLE, "no\n"};
 }
 
-MHD_Result send(MHD_Connection *connection, const Page &page)
+MHD_Result send(MHD_Connection *connection, const HttpResponse &page)
 {
-    // The copy is the library's; it never writes through the pointer.
+    // libmicrohttpd copies the buffer and never writes through the pointer.
     MHD_Response *response = MHD_create_response_from_buffer(
         page.body.size(), const_cast<char *>(page.body.data()), MHD_RESPMEM_MUST_COPY);
     MHD_add_response_header(response, "Content-Type", "text/plain; version=0.0.4; charset=utf-8");
@@ -41,19 +42,20 @@
 
 } // namespace
 
-/** The pages behind the server's paths. */
-struct MetricsPages
+/** Request handlers of the server. */
+struct MetricsRequestHandler
 {
-    static Page page(const MetricsServer &server, std::string_view method, std::string_view path)
+    static HttpResponse page(const MetricsServer &server, std::string_view method,
+                             std::string_view path)
     {
         if (method != "GET")
             return {MHD_HTTP_METHOD_NOT_ALLOWED, ""};
         if (path == "/metrics")
             return {MHD_HTTP_OK, server.m_metrics.text()};
         if (path == "/healthz")
-            return healthPage(server.m_health.isAlive());
+            return healthResponse(server.m_health.isAlive());
         if (path == "/readyz")
-            return healthPage(server.m_health.isReady());
+            return healthResponse(server.m_health.isReady());
         return {MHD_HTTP_NOT_FOUND, ""};
     }
 
@@ -61,7 +63,7 @@
                                const char *method, const char * /*version*/,
                                const char * /*upload*/, std::size_t *uploadSize, void **seen)
     {
-        // The library calls once for the headers and then for the body, which is dropped.
+        // libmicrohttpd calls first for the headers and then for the body, which is discarded.
         const bool isFirst = *seen == nullptr;
         *seen = server;
         if (isFirst || *uploadSize > 0) {
@@ -88,10 +90,11 @@
     if (!address)
         return MetricsServerError::BadAddress;
     const unsigned int family = address->ss_family == AF_INET6 ? MHD_USE_IPv6 : 0;
-    m_daemon = MHD_start_daemon(MHD_USE_EPOLL_INTERNAL_THREAD | family, m_address.port, nullptr,
-                                nullptr, MetricsPages::onAccess, this, MHD_OPTION_SOCK_ADDR,
-                                &*address, MHD_OPTION_CONNECTION_LIMIT, MaximumConnections,
-                                MHD_OPTION_CONNECTION_TIMEOUT, SilentSeconds, MHD_OPTION_END);
+    m_daemon
+        = MHD_start_daemon(MHD_USE_EPOLL_INTERNAL_THREAD | family, m_address.port, nullptr, nullptr,
+                           MetricsRequestHandler::onAccess, this, MHD_OPTION_SOCK_ADDR, &*address,
+                           MHD_OPTION_CONNECTION_LIMIT, MaximumConnections,
+                           MHD_OPTION_CONNECTION_TIMEOUT, IdleTimeoutSeconds, MHD_OPTION_END);
     if (!m_daemon)
         return MetricsServerError::ListenFailed;
     const MHD_DaemonInfo *info = MHD_get_daemon_info(m_daemon, MHD_DAEMON_INFO_BIND_PORT);
--- a/packages/observe/apricothook/observe/apricothook_metrics_server.hpp
+++ b/packages/observe/apricothook/observe/apricothook_metrics_server.hpp
@@ -15,8 +15,8 @@
 enum class MetricsServerError { BadAddress, ListenFailed };
 
 /**
- * Serves GET /metrics, /healthz and /readyz from one thread of its own, so that they answer while
- * callers keep everything else busy.
+ * Serves GET /metrics, /healthz and /readyz from a dedicated thread, so that they respond even
+ * while callers saturate all other threads.
  */
 class MetricsServer
 {
@@ -26,7 +26,7 @@
     MetricsServer(const MetricsServer &) = delete;
     MetricsServer &operator=(const MetricsServer &) = delete;
 
-    /** Listens; the port that was bound. */
+    /** Starts to listen and returns the bound port. */
     Result<std::uint16_t, MetricsServerError> start();
     void stop();
 
@@ -36,7 +36,7 @@
     const HealthSource &m_health;
     MHD_Daemon *m_daemon = nullptr;
 
-    friend struct MetricsPages;
+    friend struct MetricsRequestHandler;
 };
 
 } // namespace Apricothook
--- a/packages/observe/apricothook/observe/apricothook_request_labels.hpp
+++ b/packages/observe/apricothook/observe/apricothook_request_labels.hpp
@@ -7,7 +7,7 @@
 
 namespace Apricothook {
 
-/** Whom a measurement of a request is counted for. */
+/** Label values under which a request's measurements are recorded. */
 struct RequestLabels
 {
     Tier tier;
@@ -16,16 +16,16 @@
     auto operator<=>(const RequestLabels &) const = default;
 };
 
-/** How a request ended for its caller. Answered is goodput. */
+/** Outcome of a request for its caller. Answered counts as goodput. */
 enum class RequestResult {
-    Answered,     ///< Whole and within its patience.
-    AnsweredLate, ///< Whole, but after its patience.
-    NotRun,       ///< Refused, and proven not to have run.
-    Unknown,      ///< Refused or cut; it may have run.
+    Answered,     ///< Answered completely before the deadline given by its patience.
+    AnsweredLate, ///< Answered completely, but after that deadline.
+    NotRun,       ///< Refused and known not to have run.
+    Unknown,      ///< Refused or cut off; it may have run.
     CallerLeft,
 };
 
-/** The value of the label "result", such as "answered-late". */
+/** Value of the "result" label, for example "answered-late". */
 std::string_view nameOf(RequestResult result);
 
 } // namespace Apricothook
--- a/packages/observe/apricothook/observe/apricothook_structured_log.cpp
+++ b/packages/observe/apricothook/observe/apricothook_structured_log.cpp
@@ -27,7 +27,7 @@
     return std::get<bool>(value);
 }
 
-std::string compact(const Json::Value &value)
+std::string toCompactJson(const Json::Value &value)
 {
     static const Json::StreamWriterBuilder builder = [] {
         Json::StreamWriterBuilder made;
@@ -43,7 +43,7 @@
 
 std::string_view levelOf(const EventName *name)
 {
-    // A number that isn't in the catalogue is a fault of ours; it must be seen.
+    // A number missing from the catalogue is a programming error, so it is logged as an error.
     if (!name || name->level == EventLevel::Error)
         return "error";
     return name->level == EventLevel::Warning ? "warning" : "info";
@@ -104,14 +104,14 @@
         line[std::string(field.name)] = jsonOf(field.value);
     if (leftOut > 0)
         line["left_out"] = static_cast<Json::UInt64>(leftOut);
-    return compact(line) + "\n";
+    return toCompactJson(line) + "\n";
 }
 
 StructuredLog::StructuredLog(const Clock &clock, std::string vm, int descriptor)
     : m_clock(clock)
     , m_vm(std::move(vm))
     , m_descriptor(descriptor)
-    , m_writer([this] { writeOut(); })
+    , m_writer([this] { drainBuffer(); })
 {
 }
 
@@ -121,7 +121,7 @@
         const std::lock_guard lock(m_mutex);
         m_closing = true;
     }
-    m_filled.notify_one();
+    m_dataAvailable.notify_one();
     m_writer.join();
 }
 
@@ -131,7 +131,7 @@
         budget.since = now;
         budget.written = 0;
     }
-    const std::size_t limit = event.routine() ? BufferBytes / 2 : BufferBytes;
+    const std::size_t limit = event.isRoutine() ? BufferBytes / 2 : BufferBytes;
     return budget.written < LinesPerSecond && m_buffer.size() < limit;
 }
 
@@ -150,7 +150,7 @@
     m_buffer += structuredLine(event, m_vm, m_clock.wallMilliseconds(), now,
                                std::exchange(budget.leftOut, 0));
     if (wasEmpty)
-        m_filled.notify_one();
+        m_dataAvailable.notify_one();
 }
 
 std::uint64_t StructuredLog::dropped() const
@@ -159,19 +159,19 @@
     return m_dropped;
 }
 
-void StructuredLog::writeOut()
+void StructuredLog::drainBuffer()
 {
     std::unique_lock lock(m_mutex);
     while (true) {
-        m_filled.wait(lock, [this] { return m_closing || !m_buffer.empty(); });
+        m_dataAvailable.wait(lock, [this] { return m_closing || !m_buffer.empty(); });
         if (!m_closing)
-            m_filled.wait_for(lock, FlushPause, [this] { return m_closing; });
+            m_dataAvailable.wait_for(lock, FlushPause, [this] { return m_closing; });
         const std::string lines = std::exchange(m_buffer, {});
         const bool closing = m_closing;
         lock.unlock();
         for (std::size_t done = 0; done < lines.size();) {
             const ssize_t written = ::write(m_descriptor, lines.data() + done, lines.size() - done);
-            // Nobody reads the log any more; there is no place left to tell it.
+            // The reader has closed the descriptor, so the error can't be reported anywhere.
             if (written <= 0)
                 break;
             done += static_cast<std::size_t>(written);
--- a/packages/observe/apricothook/observe/apricothook_structured_log.hpp
+++ b/packages/observe/apricothook/observe/apricothook_structured_log.hpp
@@ -15,7 +15,7 @@
 
 namespace Apricothook {
 
-/** One decision or change as a line of the log: a number of docs/EVENTS.md and named values. */
+/** A log record: an event number from docs/EVENTS.md and named fields. */
 class LogEvent
 {
 public:
@@ -31,9 +31,9 @@
     {
     }
 
-    /** The request that the event is about. */
+    /** Sets the key of the request that the event concerns. */
     LogEvent &forRequest(const RequestKey &request);
-    /** `name` must be a literal. */
+    /** Adds a field. `name` must be a string literal, as only a view of it is stored. */
     LogEvent &with(std::string_view name, std::string value);
     LogEvent &with(std::string_view name, double value);
     LogEvent &with(std::string_view name, bool value);
@@ -44,11 +44,11 @@
         m_fields.push_back({name, static_cast<std::int64_t>(value)});
         return *this;
     }
-    /** Ordinary successes; left out first when there are too many lines. */
+    /** Marks an ordinary success. Such events are dropped first under load. */
     LogEvent &markRoutine();
 
     int number() const { return m_number; }
-    bool routine() const { return m_routine; }
+    bool isRoutine() const { return m_routine; }
     const RequestKey &request() const { return m_request; }
     const std::vector<Field> &fields() const { return m_fields; }
 
@@ -59,7 +59,7 @@
     std::vector<Field> m_fields;
 };
 
-/** Takes events; the gateway and what stands beside it write through this. */
+/** Interface through which the gateway and other components of the process log events. */
 class LogWriter
 {
 public:
@@ -67,25 +67,29 @@
     virtual void write(const LogEvent &event) = 0;
 };
 
-/** The line of an event, with the newline; `leftOut` lines of its number went before it. */
+/**
+ * Formats an event as one JSON line, newline included. `leftOut`: lines with the same number that
+ * were dropped before this one.
+ */
 std::string structuredLine(const LogEvent &event, const std::string &vm,
                            std::uint64_t wallMilliseconds, Instant now, std::uint64_t leftOut);
 
 /**
- * Writes events to a descriptor, one JSON object a line.
+ * Writes events to a file descriptor, one JSON object per line.
  *
- * A reader of standard output that stops reading would stop the process at its next line, and with
- * it every request. A thread of its own writes, from a bounded buffer: when the buffer is half full
- * routine lines are dropped, when it is full all are, and the next line of a number tells how many.
- * Each number has a bounded number of lines a second, so that a storm of one event hides no other.
+ * If the reader of standard output stops reading, a direct write would block the process and every
+ * request in it. A dedicated thread therefore writes from a bounded buffer. Routine events are
+ * dropped once the buffer is half full and all events once it is full; the next line with the same
+ * number states how many were dropped. The lines per second are limited for each number, so that a
+ * burst of one event doesn't hide others.
  */
 class StructuredLog : public LogWriter
 {
 public:
     static constexpr std::size_t BufferBytes = 1 << 20;
-    /** Lines of one number in a second; twice the requests of a busy daemon. */
+    /** Limit for each event number; twice the request rate of a busy daemon. */
     static constexpr std::uint32_t LinesPerSecond = 100;
-    /** Lines gather for so long before they are written with one call. */
+    /** Time for which lines are collected before they are written with one call. */
     static constexpr std::chrono::milliseconds FlushPause {200};
 
     StructuredLog(const Clock &clock, std::string vm, int descriptor);
@@ -105,13 +109,13 @@
     };
 
     bool hasRoom(const LogEvent &event, Budget &budget, Instant now) const;
-    void writeOut();
+    void drainBuffer();
 
     const Clock &m_clock;
     const std::string m_vm;
     const int m_descriptor;
     mutable std::mutex m_mutex;
-    std::condition_variable m_filled;
+    std::condition_variable m_dataAvailable;
     std::string m_buffer;
     std::map<int, Budget> m_budgets;
     std::uint64_t m_dropped = 0;
--- a/packages/observe/apricothook/observe/apricothook_top_customers.cpp
+++ b/packages/observe/apricothook/observe/apricothook_top_customers.cpp
@@ -6,67 +6,66 @@
 
 namespace {
 
-constexpr Duration Period = std::chrono::seconds(60);
-constexpr double Fading = 0.5;
-constexpr double Forgotten = 0.05;
-constexpr double Advantage = 1.5;
+constexpr Duration DecayPeriod = std::chrono::seconds(60);
+constexpr double DecayFactor = 0.5;
+constexpr double RemovalThreshold = 0.05;
+constexpr double ReplacementRatio = 1.5;
 
 } // namespace
 
 void TopCustomers::count(const CustomerId &customer)
 {
     m_counts[customer] += 1;
-    if (m_chosen.size() < m_places)
-        m_chosen.insert(customer);
+    if (m_selected.size() < m_limit)
+        m_selected.insert(customer);
 }
 
-std::optional<CustomerId> TopCustomers::rank(Instant now)
+std::optional<CustomerId> TopCustomers::update(Instant now)
 {
-    if (now - m_fadedAt >= Period) {
-        m_fadedAt = now;
-        fade();
+    if (now - m_lastDecay >= DecayPeriod) {
+        m_lastDecay = now;
+        decay();
     }
-    if (m_chosen.size() < m_places)
+    if (m_selected.size() < m_limit)
         return std::nullopt;
-    const auto strongest = strongestOutside();
-    const auto weakest = weakestInside();
-    if (strongest == m_counts.end() || weakest == m_counts.end()
-        || strongest->second < weakest->second * Advantage)
+    const auto busiest = busiestUnselected();
+    const auto quietest = quietestSelected();
+    if (busiest == m_counts.end() || quietest == m_counts.end()
+        || busiest->second < quietest->second * ReplacementRatio)
         return std::nullopt;
-    const CustomerId lost = weakest->first;
-    m_chosen.erase(lost);
-    m_chosen.insert(strongest->first);
-    return lost;
+    const CustomerId removed = quietest->first;
+    m_selected.erase(removed);
+    m_selected.insert(busiest->first);
+    return removed;
 }
 
-void TopCustomers::fade()
+void TopCustomers::decay()
 {
     for (auto &[customer, count] : m_counts)
-        count *= Fading;
+        count *= DecayFactor;
     std::erase_if(m_counts, [this](const auto &entry) {
-        return entry.second < Forgotten && !m_chosen.contains(entry.first);
+        return entry.second < RemovalThreshold && !m_selected.contains(entry.first);
     });
 }
 
-TopCustomers::Counts::iterator TopCustomers::strongestOutside()
+TopCustomers::Counts::iterator TopCustomers::busiestUnselected()
 {
-    auto strongest = m_counts.end();
+    auto busiest = m_counts.end();
     for (auto entry = m_counts.begin(); entry != m_counts.end(); ++entry) {
-        if (!has(entry->first)
-            && (strongest == m_counts.end() || entry->second > strongest->second))
-            strongest = entry;
+        if (!has(entry->first) && (busiest == m_counts.end() || entry->second > busiest->second))
+            busiest = entry;
     }
-    return strongest;
+    return busiest;
 }
 
-TopCustomers::Counts::iterator TopCustomers::weakestInside()
+TopCustomers::Counts::iterator TopCustomers::quietestSelected()
 {
-    auto weakest = m_counts.end();
+    auto quietest = m_counts.end();
     for (auto entry = m_counts.begin(); entry != m_counts.end(); ++entry) {
-        if (has(entry->first) && (weakest == m_counts.end() || entry->second < weakest->second))
-            weakest = entry;
+        if (has(entry->first) && (quietest == m_counts.end() || entry->second < quietest->second))
+            quietest = entry;
     }
-    return weakest;
+    return quietest;
 }
 
 } // namespace Apricothook
--- a/packages/observe/apricothook/observe/apricothook_top_customers.hpp
+++ b/packages/observe/apricothook/observe/apricothook_top_customers.hpp
@@ -11,35 +11,35 @@
 namespace Apricothook {
 
 /**
- * Chooses the few customers that get series of their own; all others share "other". At 2,500
- * customers a histogram for each would be some forty thousand series for every daemon, though a
- * daemon sees much of its traffic from few of them.
+ * Selects the customers that get metric series of their own; all others are counted under "other".
+ * With 2,500 customers, a histogram for each would be about forty thousand series per daemon,
+ * although most of a daemon's traffic comes from a few customers.
  *
- * Counts fade by half in each period. A customer takes the place of the weakest one in only when it
- * has clearly more traffic, so that two alike don't swap places, and lose their history, each time.
+ * Request counts decay by half in each period. A customer replaces the selected one with the least
+ * traffic only if it has clearly more, so that two customers with similar traffic don't keep
+ * replacing each other and losing their history.
  */
 class TopCustomers
 {
 public:
-    explicit TopCustomers(std::size_t places) : m_places(places) { }
+    explicit TopCustomers(std::size_t limit) : m_limit(limit) { }
 
-    /** Counts a request. */
     void count(const CustomerId &customer);
-    bool has(const CustomerId &customer) const { return m_chosen.contains(customer); }
-    /** Call now and then; the customer that lost its place, if any. */
-    std::optional<CustomerId> rank(Instant now);
+    bool has(const CustomerId &customer) const { return m_selected.contains(customer); }
+    /** Updates the selection and returns the customer that was removed from it, if any. */
+    std::optional<CustomerId> update(Instant now);
 
 private:
     using Counts = std::unordered_map<CustomerId, double>;
 
-    void fade();
-    Counts::iterator strongestOutside();
-    Counts::iterator weakestInside();
+    void decay();
+    Counts::iterator busiestUnselected();
+    Counts::iterator quietestSelected();
 
-    std::size_t m_places;
+    std::size_t m_limit;
     Counts m_counts;
-    std::unordered_set<CustomerId> m_chosen;
-    Instant m_fadedAt {};
+    std::unordered_set<CustomerId> m_selected;
+    Instant m_lastDecay {};
 };
 
 } // namespace Apricothook
--- a/packages/observe/apricothook/observe/internal/apricothook_metrics_tables.cpp
+++ b/packages/observe/apricothook/observe/internal/apricothook_metrics_tables.cpp
@@ -4,7 +4,10 @@
 
 namespace {
 
-/** Bounds in seconds; the agreed 0.46 s and 44 ms are bounds, so that their share is exact. */
+/**
+ * Bucket bounds in seconds. The service-level objectives of 0.46 s and 44 ms are bounds, so that
+ * the share of requests that meet them is exact.
+ */
 const prometheus::Histogram::BucketBoundaries RequestBounds {
     0.01, 0.025, 0.05, 0.1, 0.25, 0.46, 1, 2.5, 5, 10, 30, 60, 120, 300};
 const prometheus::Histogram::BucketBoundaries TokenBounds {0.005, 0.01, 0.02, 0.03, 0.044,
@@ -27,13 +30,13 @@
 
 } // namespace
 
-std::string BoundedNames::label(const std::string &name)
+std::string BoundedLabels::label(const std::string &name)
 {
-    if (m_names.contains(name))
+    if (m_values.contains(name))
         return name;
-    if (m_names.size() >= m_limit)
+    if (m_values.size() >= m_limit)
         return "other";
-    m_names.insert(name);
+    m_values.insert(name);
     return name;
 }
 
@@ -51,7 +54,7 @@
     return *known;
 }
 
-MetricsTables::MetricsTables(std::size_t customerPlaces, std::size_t maximumNames)
+MetricsTables::MetricsTables(std::size_t maximumCustomers, std::size_t maximumLabelValues)
     : requests(counter(registry, "apricothook_requests_total", "Requests that ended, by result"))
     , refusals(counter(registry, "apricothook_refusals_total", "Refusals, by reason"))
     , prefillTokens(counter(registry, "apricothook_prefill_tokens_total",
@@ -78,9 +81,9 @@
                                 "From arrival to the end of the answer, by customer"))
     , ringItems(gauge(registry, "apricothook_ring_items", "Items in a ring between threads"))
     , floors(gauge(registry, "apricothook_floor_tier", "Lowest tier that a service admits"))
-    , classes(maximumNames)
-    , services(maximumNames)
-    , customers(customerPlaces)
+    , classes(maximumLabelValues)
+    , services(maximumLabelValues)
+    , customers(maximumCustomers)
 {
 }
 
--- a/packages/observe/apricothook/observe/internal/apricothook_metrics_tables.hpp
+++ b/packages/observe/apricothook/observe/internal/apricothook_metrics_tables.hpp
@@ -19,21 +19,21 @@
 using GaugeFamily = prometheus::Family<prometheus::Gauge>;
 using HistogramFamily = prometheus::Family<prometheus::Histogram>;
 
-/** A set of label values that stops growing; those that come later share "other". */
-class BoundedNames
+/** Limits the number of distinct label values; any further value is replaced with "other". */
+class BoundedLabels
 {
 public:
-    explicit BoundedNames(std::size_t limit) : m_limit(limit) { }
+    explicit BoundedLabels(std::size_t limit) : m_limit(limit) { }
     std::string label(const std::string &name);
 
 private:
     std::size_t m_limit;
-    std::unordered_set<std::string> m_names;
+    std::unordered_set<std::string> m_values;
 };
 
 /**
- * A histogram for each tier and class. Keeps the series that it has made: the library builds a new
- * histogram at each look-up, which per token would cost a share of the daemon's budget.
+ * A histogram for each tier and class. Caches the series it has created, because prometheus-cpp
+ * constructs a new histogram at each look-up, which is too expensive to do for every token.
  */
 class ClassHistograms
 {
@@ -49,11 +49,11 @@
     std::map<std::pair<std::string, std::string>, prometheus::Histogram *> m_series;
 };
 
-/** The families of prometheus-cpp behind Metrics; one lock for its own tables. */
+/** The prometheus-cpp families behind Metrics. The mutex protects the tables outside of them. */
 class MetricsTables
 {
 public:
-    MetricsTables(std::size_t customerPlaces, std::size_t maximumNames);
+    MetricsTables(std::size_t maximumCustomers, std::size_t maximumLabelValues);
 
     std::mutex mutex;
     prometheus::Registry registry;
@@ -70,8 +70,8 @@
     HistogramFamily &customerSeconds;
     GaugeFamily &ringItems;
     GaugeFamily &floors;
-    BoundedNames classes;
-    BoundedNames services;
+    BoundedLabels classes;
+    BoundedLabels services;
     TopCustomers customers;
 };
 
--- a/packages/observe/tests/apricothook_line_collector.hpp
+++ b/packages/observe/tests/apricothook_line_collector.hpp
@@ -8,7 +8,10 @@
 
 enum class LineSeverity { Info, Warning, Error };
 
-/** Takes the lines that go to the log. Keeps glog's header, whose CHECK isn't doctest's, out. */
+/**
+ * Captures the lines written to glog. Hides glog's header, whose CHECK macro conflicts with
+ * doctest's.
+ */
 class LineCollector
 {
 public:
--- a/packages/observe/tests/apricothook_observe_tests.cpp
+++ b/packages/observe/tests/apricothook_observe_tests.cpp
@@ -29,7 +29,7 @@
     Instant time {};
 };
 
-struct FixedHealth : HealthSource
+struct FakeHealthSource : HealthSource
 {
     bool isAlive() const override { return alive; }
     bool isReady() const override { return ready; }
@@ -42,7 +42,7 @@
     return text.find(part) != std::string::npos;
 }
 
-std::size_t seriesIn(const std::string &text)
+std::size_t countSeries(const std::string &text)
 {
     std::size_t series = 0;
     for (std::size_t at = 0; at < text.size(); at = text.find('\n', at) + 1)
@@ -92,10 +92,10 @@
         CHECK(log.severities[1] == LineSeverity::Error);
     }
 
-    TEST_CASE("A burst of one event is counted and doesn't hide another")
+    TEST_CASE("A burst of one event is limited and counted, and other events are still logged")
     {
-        // Thousands of refusals a second arrive together with the one line that says why. The
-        // operator must find that line, and how many refusals there were.
+        // Thousands of refusals a second are logged along with the one event that explains them.
+        // The operator must be able to find that event and the number of refusals.
         ManualClock clock;
         LineCollector log;
         LogSink sink(clock);
@@ -109,7 +109,7 @@
         CHECK(contains(log.lines.back(), "left-out=980"));
     }
 
-    TEST_CASE("A check that needs every event gets every line up to the limit that it set")
+    TEST_CASE("The limit of lines per second can be set")
     {
         ManualClock clock;
         LineCollector log;
@@ -119,7 +119,7 @@
         CHECK(log.lines.size() == 500);
     }
 
-    TEST_CASE("A detail can't forge a line")
+    TEST_CASE("Control characters in an event's details can't inject a line")
     {
         CHECK(eventLine(DecisionEvent {402, RequestKey(), "a\nE404 b"}, 0)
               == "E402 FloorRaised a?E404 b");
@@ -162,10 +162,11 @@
             CHECK_MESSAGE(contains(text, line), line);
     }
 
-    TEST_CASE("Series stay few whatever customers and classes come")
+    TEST_CASE("The number of series is bounded whatever customers and classes appear")
     {
-        // Each label value is memory for the life of the process and a line in every scrape; 2,500
-        // customers, or a caller that invents class names, would fill a VM of 32 MB for control.
+        // Each label value uses memory until the process ends and adds a line to every scrape.
+        // 2,500 customers, or a caller that makes up class names, would exhaust the 32 MB that a VM
+        // has for control.
         Metrics metrics;
         for (int request = 0; request < 20000; ++request) {
             const std::string number = std::to_string(request % 2500);
@@ -178,11 +179,11 @@
         CHECK(contains(text, "customer=\"other\""));
         const std::size_t perCustomer = 7 + 3 + 1;
         const std::size_t perClass = 14 + 3 + 1;
-        CHECK(seriesIn(text) <= (Metrics::CustomerPlaces + 1) * perCustomer
-                  + (Metrics::MaximumNames + 1) * perClass);
+        CHECK(countSeries(text) <= (Metrics::MaximumCustomers + 1) * perCustomer
+                  + (Metrics::MaximumLabelValues + 1) * perClass);
     }
 
-    TEST_CASE("Customers with the most traffic get places and two alike don't swap them")
+    TEST_CASE("Customers with the most traffic are selected, and similar ones aren't swapped")
     {
         TopCustomers top(2);
         const auto count = [&top](const char *customer, int requests) {
@@ -192,29 +193,29 @@
         count("a", 4);
         count("b", 8);
         count("c", 5);
-        CHECK_FALSE(top.rank(Instant()).has_value());
+        CHECK_FALSE(top.update(Instant()).has_value());
         count("c", 1);
-        CHECK(top.rank(Instant()) == CustomerId("a"));
+        CHECK(top.update(Instant()) == CustomerId("a"));
         CHECK(top.has(CustomerId("b")));
         CHECK(top.has(CustomerId("c")));
         count("a", 3);
-        CHECK_FALSE(top.rank(Instant()).has_value());
-        // What was busy an hour ago loses its place to what is busy now.
+        CHECK_FALSE(top.update(Instant()).has_value());
+        // A customer that was busy an hour ago is replaced by one that is busy now.
         for (int minute = 1; minute <= 60; ++minute)
-            top.rank(Instant(std::chrono::minutes(minute)));
+            top.update(Instant(std::chrono::minutes(minute)));
         count("a", 1);
-        CHECK(top.rank(Instant(std::chrono::minutes(60))).has_value());
+        CHECK(top.update(Instant(std::chrono::minutes(60))).has_value());
         CHECK(top.has(CustomerId("a")));
     }
 }
 
 TEST_SUITE("[observe][server]")
 {
-    TEST_CASE("Metrics and health are served, and readiness follows its source")
+    TEST_CASE("Metrics and health are served, and readiness reflects the health source")
     {
         Metrics metrics;
         metrics.setRing("core", 3);
-        FixedHealth health;
+        FakeHealthSource health;
         MetricsServer server(Endpoint {"127.0.0.1", 0}, metrics, health);
         const auto port = server.start();
         REQUIRE(port);
--- a/packages/observe/tests/apricothook_structured_log_tests.cpp
+++ b/packages/observe/tests/apricothook_structured_log_tests.cpp
@@ -20,7 +20,7 @@
 
 enum class TestEvent : int { Known = 801, Unknown = 1 };
 
-/** A pipe whose reading end the test may leave unread. */
+/** A pipe whose reading end a test may leave unread. */
 class Pipe
 {
 public:
@@ -59,7 +59,7 @@
 
 } // namespace
 
-TEST_CASE("a line is one JSON object with the event's values")
+TEST_CASE("a line is one JSON object with the event's fields")
 {
     LogEvent event(TestEvent::Known);
     event.forRequest(RequestKey("r\"1\n")).with("target", std::string("t")).with("load", 3U);
@@ -79,16 +79,16 @@
     CHECK(value["left_out"].asInt() == 2);
 }
 
-TEST_CASE("a number outside the catalogue is shown as an error")
+TEST_CASE("an event number missing from the catalogue is logged as an error")
 {
     const std::string line = structuredLine(LogEvent(TestEvent::Unknown), "vm", 0, Instant(), 0);
     CHECK(parse(line)["level"].asString() == "error");
     CHECK(parse(line)["name"].asString() == "NotInCatalogue");
 }
 
-TEST_CASE("a storm of one event keeps within its lines a second and hides no other")
+TEST_CASE("a burst of one event is limited to its lines per second, and others are still logged")
 {
-    // Whoever reads the log sees the other event, and how many lines the storm left out.
+    // The other event and the number of suppressed lines must still appear in the log.
     ManualClock clock;
     Pipe pipe;
     {
@@ -107,10 +107,10 @@
     CHECK(text.find("\"left_out\":200") != std::string::npos);
 }
 
-TEST_CASE("a reader that stops reading delays no writer")
+TEST_CASE("a log reader that stops reading doesn't block writers")
 {
-    // Requests go on as before. The reader of standard output is stuck, the pipe is full, and the
-    // buffer fills: routine lines are dropped first, then all, and counted.
+    // The reader of standard output hangs, the pipe fills up, and then the buffer. Requests must
+    // not be delayed: routine lines are dropped first, then all lines, and both are counted.
     ManualClock clock;
     Pipe pipe;
     StructuredLog log(clock, "vm", pipe.writer());
--- a/packages/peers/apricothook/peers/apricothook_base64.cpp
+++ b/packages/peers/apricothook/peers/apricothook_base64.cpp
@@ -7,8 +7,8 @@
 namespace {
 
 constexpr std::size_t GroupBytes = 3;
-constexpr std::size_t GroupLetters = 4;
-constexpr std::size_t MaximumLetters = 64U << 20U;
+constexpr std::size_t GroupCharacters = 4;
+constexpr std::size_t MaximumCharacters = 64U << 20U;
 
 std::size_t paddingOf(std::string_view text)
 {
@@ -21,8 +21,8 @@
 
 std::string toBase64(std::string_view bytes)
 {
-    // The library writes a closing zero byte after the letters.
-    std::string text((bytes.size() + GroupBytes - 1) / GroupBytes * GroupLetters + 1, '\0');
+    // EVP_EncodeBlock() appends a terminating zero byte.
+    std::string text((bytes.size() + GroupBytes - 1) / GroupBytes * GroupCharacters + 1, '\0');
     const int size = EVP_EncodeBlock(reinterpret_cast<unsigned char *>(text.data()),
                                      reinterpret_cast<const unsigned char *>(bytes.data()),
                                      static_cast<int>(bytes.size()));
@@ -34,9 +34,9 @@
 {
     if (text.empty())
         return std::string();
-    if (text.size() % GroupLetters != 0 || text.size() > MaximumLetters)
+    if (text.size() % GroupCharacters != 0 || text.size() > MaximumCharacters)
         return std::nullopt;
-    std::string bytes(text.size() / GroupLetters * GroupBytes, '\0');
+    std::string bytes(text.size() / GroupCharacters * GroupBytes, '\0');
     const int size = EVP_DecodeBlock(reinterpret_cast<unsigned char *>(bytes.data()),
                                      reinterpret_cast<const unsigned char *>(text.data()),
                                      static_cast<int>(text.size()));
--- a/packages/peers/apricothook/peers/apricothook_base64.hpp
+++ b/packages/peers/apricothook/peers/apricothook_base64.hpp
@@ -7,7 +7,7 @@
 namespace Apricothook {
 
 std::string toBase64(std::string_view bytes);
-/** Nothing when it isn't base64 with its padding. */
+/** Returns nothing if the text isn't padded base64. */
 std::optional<std::string> fromBase64(std::string_view text);
 
 } // namespace Apricothook
--- a/packages/peers/apricothook/peers/apricothook_cbor_bounds.hpp
+++ b/packages/peers/apricothook/peers/apricothook_cbor_bounds.hpp
@@ -6,9 +6,9 @@
 
 namespace Apricothook {
 
-/** Longest string of a field; the longest in use is a request key. */
+/** Longest string accepted in a field; request keys are the longest ones in use. */
 constexpr std::size_t MaximumStringBytes = 4 * MaximumKeyBytes;
-/** Most items of an array of a field. */
+/** Most elements accepted in an array of a field. */
 constexpr std::size_t MaximumItems = 4096;
 
 } // namespace Apricothook
--- a/packages/peers/apricothook/peers/apricothook_cbor_item.cpp
+++ b/packages/peers/apricothook/peers/apricothook_cbor_item.cpp
@@ -9,21 +9,21 @@
 using Type = CborItem::Type;
 
 template <Type type, typename Value>
-void keepNumber(void *item, Value value)
+void storeInteger(void *item, Value value)
 {
     static_cast<CborItem *>(item)->type = type;
     static_cast<CborItem *>(item)->number = value;
 }
 
 template <Type type>
-void keepBytes(void *item, cbor_data data, std::size_t size)
+void storeBytes(void *item, cbor_data data, std::size_t size)
 {
     static_cast<CborItem *>(item)->type = type;
     static_cast<CborItem *>(item)->bytes = {reinterpret_cast<const char *>(data), size};
 }
 
 template <typename Value>
-void keepReal(void *item, Value value)
+void storeDouble(void *item, Value value)
 {
     static_cast<CborItem *>(item)->type = Type::Double;
     static_cast<CborItem *>(item)->real = value;
@@ -31,29 +31,29 @@
 
 cbor_callbacks makeCallbacks()
 {
-    // Indefinite lengths, breaks, null and undefined are never sent: they stay Type::Other.
+    // Peers never send indefinite lengths, breaks, null or undefined: these stay Type::Other.
     cbor_callbacks callbacks = cbor_empty_callbacks;
-    callbacks.uint8 = keepNumber<Type::Unsigned, std::uint8_t>;
-    callbacks.uint16 = keepNumber<Type::Unsigned, std::uint16_t>;
-    callbacks.uint32 = keepNumber<Type::Unsigned, std::uint32_t>;
-    callbacks.uint64 = keepNumber<Type::Unsigned, std::uint64_t>;
-    callbacks.negint8 = keepNumber<Type::Negative, std::uint8_t>;
-    callbacks.negint16 = keepNumber<Type::Negative, std::uint16_t>;
-    callbacks.negint32 = keepNumber<Type::Negative, std::uint32_t>;
-    callbacks.negint64 = keepNumber<Type::Negative, std::uint64_t>;
-    callbacks.byte_string = keepBytes<Type::Bytes>;
-    callbacks.string = keepBytes<Type::Text>;
-    callbacks.array_start = keepNumber<Type::Array, std::size_t>;
-    callbacks.map_start = keepNumber<Type::Map, std::size_t>;
-    callbacks.tag = keepNumber<Type::Tag, std::uint64_t>;
-    callbacks.boolean = keepNumber<Type::Boolean, bool>;
-    callbacks.float2 = keepReal<float>;
-    callbacks.float4 = keepReal<float>;
-    callbacks.float8 = keepReal<double>;
+    callbacks.uint8 = storeInteger<Type::Unsigned, std::uint8_t>;
+    callbacks.uint16 = storeInteger<Type::Unsigned, std::uint16_t>;
+    callbacks.uint32 = storeInteger<Type::Unsigned, std::uint32_t>;
+    callbacks.uint64 = storeInteger<Type::Unsigned, std::uint64_t>;
+    callbacks.negint8 = storeInteger<Type::Negative, std::uint8_t>;
+    callbacks.negint16 = storeInteger<Type::Negative, std::uint16_t>;
+    callbacks.negint32 = storeInteger<Type::Negative, std::uint32_t>;
+    callbacks.negint64 = storeInteger<Type::Negative, std::uint64_t>;
+    callbacks.byte_string = storeBytes<Type::Bytes>;
+    callbacks.string = storeBytes<Type::Text>;
+    callbacks.array_start = storeInteger<Type::Array, std::size_t>;
+    callbacks.map_start = storeInteger<Type::Map, std::size_t>;
+    callbacks.tag = storeInteger<Type::Tag, std::uint64_t>;
+    callbacks.boolean = storeInteger<Type::Boolean, bool>;
+    callbacks.float2 = storeDouble<float>;
+    callbacks.float4 = storeDouble<float>;
+    callbacks.float8 = storeDouble<double>;
     return callbacks;
 }
 
-std::uint64_t itemsInside(const CborItem &item)
+std::uint64_t childCount(const CborItem &item)
 {
     switch (item.type) {
     case Type::Array:
@@ -67,7 +67,7 @@
     }
 }
 
-bool isCollection(const CborItem &item)
+bool isContainer(const CborItem &item)
 {
     return item.type == Type::Array || item.type == Type::Map;
 }
@@ -85,21 +85,21 @@
     if (result.status != CBOR_DECODER_FINISHED || item.type == Type::Other)
         return CodecError::Malformed;
     bytes.remove_prefix(result.read);
-    // Each item takes a byte at least. A sender that claims a billion items would otherwise make
-    // the reader reserve memory for them.
-    if (isCollection(item) && item.number > bytes.size())
+    // Each element takes at least one byte. Without this check, a header that claims a billion
+    // elements would make the reader allocate memory for them.
+    if (isContainer(item) && item.number > bytes.size())
         return CodecError::Truncated;
     return item;
 }
 
 Result<void, CodecError> skipItem(std::string_view &bytes)
 {
-    // Counts what is left rather than recursing: deep nesting can't exhaust the stack.
+    // Iterates with a count of remaining items, so that deep nesting can't overflow the stack.
     for (std::uint64_t left = 1; left > 0; --left) {
         const Result<CborItem, CodecError> item = takeItem(bytes);
         if (!item)
             return item.error();
-        left += itemsInside(item.value());
+        left += childCount(item.value());
     }
     return Outcomes::success();
 }
--- a/packages/peers/apricothook/peers/apricothook_cbor_item.hpp
+++ b/packages/peers/apricothook/peers/apricothook_cbor_item.hpp
@@ -8,22 +8,24 @@
 
 namespace Apricothook {
 
-/** One item of CBOR as libcbor's stream decoder reports it. */
+/** One CBOR data item as reported by libcbor's stream decoder. */
 struct CborItem
 {
     enum class Type { Unsigned, Negative, Text, Bytes, Array, Map, Tag, Boolean, Double, Other };
     Type type = Type::Other;
-    /** Value of a number or Boolean; items of an array, pairs of a map. */
+    /** Value of an integer or Boolean; number of elements of an array or of pairs of a map. */
     std::uint64_t number = 0;
     double real = 0;
     std::string_view bytes;
 };
 
-/** Takes the next item off the front of `bytes`; contents of arrays follow as items of their own.
+/**
+ * Decodes the next item and removes it from the front of `bytes`. Only the header of an array, map
+ * or tag is removed; its contents follow as separate items.
  */
 Result<CborItem, CodecError> takeItem(std::string_view &bytes);
 
-/** Takes one item with all that is in it off the front of `bytes`. */
+/** Removes one item from the front of `bytes`, nested items included. */
 Result<void, CodecError> skipItem(std::string_view &bytes);
 
 } // namespace Apricothook
--- a/packages/peers/apricothook/peers/apricothook_cbor_reader.hpp
+++ b/packages/peers/apricothook/peers/apricothook_cbor_reader.hpp
@@ -14,9 +14,10 @@
 namespace Apricothook {
 
 /**
- * Reads values from CBOR; the archive that fields() is called with. The first error is kept and all
- * that is read after it stays at its default. The depth is that of the message types, as only what
- * a type names is entered and all else is skipped.
+ * Reads values from CBOR. Implements the archive interface that the messages' fields() functions
+ * expect. Keeps the first error; values read after it are left at their defaults. The recursion
+ * depth is bounded by the message types, because items that no field corresponds to are skipped
+ * without recursion.
  */
 class CborReader
 {
@@ -32,7 +33,7 @@
             skip();
     }
 
-    /** The header of an array; 0 after an error. */
+    /** Reads the header of an array and returns its length, or 0 after an error. */
     std::uint64_t array() { return expect(CborItem::Type::Array).number; }
     std::uint64_t number(std::uint64_t largest = std::numeric_limits<std::uint64_t>::max())
     {
@@ -52,7 +53,7 @@
             m_error = error;
     }
     const std::optional<CodecError> &error() const { return m_error; }
-    std::string_view rest() const { return m_bytes; }
+    std::string_view remaining() const { return m_bytes; }
 
 private:
     CborItem next()
--- a/packages/peers/apricothook/peers/apricothook_cbor_writer.hpp
+++ b/packages/peers/apricothook/peers/apricothook_cbor_writer.hpp
@@ -13,7 +13,10 @@
 
 namespace Apricothook {
 
-/** Writes values as CBOR; the archive that fields() is called with. */
+/**
+ * Writes values as CBOR. Implements the archive interface that the messages' fields() functions
+ * expect.
+ */
 class CborWriter
 {
 public:
@@ -24,39 +27,39 @@
         (write(fields), ...);
     }
 
-    void array(std::size_t items) { head(cbor_encode_array_start, items); }
-    void number(std::uint64_t value) { head(cbor_encode_uint, value); }
+    void array(std::size_t items) { header(cbor_encode_array_start, items); }
+    void number(std::uint64_t value) { header(cbor_encode_uint, value); }
     template <typename T>
     void write(const T &value);
     std::string take() { return std::move(m_bytes); }
 
 private:
-    static constexpr std::size_t HeadBytes = 9;
+    static constexpr std::size_t MaximumHeaderBytes = 9;
 
     template <typename Encode, typename Value>
-    void head(Encode encode, Value value)
+    void header(Encode encode, Value value)
     {
-        std::array<unsigned char, HeadBytes> bytes;
+        std::array<unsigned char, MaximumHeaderBytes> bytes;
         const std::size_t size = encode(value, bytes.data(), bytes.size());
         m_bytes.append(reinterpret_cast<const char *>(bytes.data()), size);
     }
     void text(const std::string &value)
     {
-        head(cbor_encode_string_start, value.size());
+        header(cbor_encode_string_start, value.size());
         m_bytes.append(value);
     }
     void duration(Duration value)
     {
-        // CBOR holds a negative n as -1 - n.
+        // CBOR encodes a negative n as -1 - n.
         if (value.count() < 0)
-            head(cbor_encode_negint, static_cast<std::uint64_t>(-(value.count() + 1)));
+            header(cbor_encode_negint, static_cast<std::uint64_t>(-(value.count() + 1)));
         else
             number(static_cast<std::uint64_t>(value.count()));
     }
     void endpoint(const Endpoint &value)
     {
         const std::string bytes = endpointBytes(value);
-        head(cbor_encode_bytestring_start, bytes.size());
+        header(cbor_encode_bytestring_start, bytes.size());
         m_bytes.append(bytes);
     }
     template <typename Kind>
@@ -79,9 +82,9 @@
 void CborWriter::write(const T &value)
 {
     if constexpr (std::is_same_v<T, bool>)
-        head(cbor_encode_bool, value);
+        header(cbor_encode_bool, value);
     else if constexpr (std::is_same_v<T, double>)
-        head(cbor_encode_double, value);
+        header(cbor_encode_double, value);
     else if constexpr (std::is_enum_v<T> || std::is_unsigned_v<T>)
         number(static_cast<std::uint64_t>(value));
     else if constexpr (std::is_same_v<T, Duration>)
--- a/packages/peers/apricothook/peers/apricothook_codec_error.hpp
+++ b/packages/peers/apricothook/peers/apricothook_codec_error.hpp
@@ -2,15 +2,15 @@
 
 namespace Apricothook {
 
-/** Why bytes are not a message. */
+/** Reason why bytes can't be decoded as a message. */
 enum class CodecError {
-    Truncated,   ///< The bytes end inside an item.
-    Malformed,   ///< Not CBOR, or CBOR of a form that is never sent (indefinite lengths).
-    WrongType,   ///< An item is of another type than its field.
-    OutOfRange,  ///< A number, an enumerator or an address outside of what its field may hold.
-    TooLong,     ///< A string or an array above its bound.
-    UnknownKind, ///< A kind of message of a later version.
-    Trailing,    ///< Bytes follow the message.
+    Truncated,   ///< The input ends inside an item.
+    Malformed,   ///< Not CBOR, or CBOR of a form that peers never send (indefinite lengths).
+    WrongType,   ///< The type of an item doesn't match its field.
+    OutOfRange,  ///< A number, enumerator or address isn't valid for its field.
+    TooLong,     ///< A string or array exceeds its limit.
+    UnknownKind, ///< A message kind that only a later version defines.
+    Trailing,    ///< The message is followed by further bytes.
 };
 
 } // namespace Apricothook
--- a/packages/peers/apricothook/peers/apricothook_endpoint_bytes.hpp
+++ b/packages/peers/apricothook/peers/apricothook_endpoint_bytes.hpp
@@ -8,7 +8,7 @@
 
 namespace Apricothook {
 
-/** Address and port as 6 (IPv4) or 18 (IPv6) bytes; empty for an endpoint that isn't set. */
+/** Encodes address and port as 6 (IPv4) or 18 (IPv6) bytes; an unset endpoint is empty. */
 std::string endpointBytes(const Endpoint &endpoint);
 std::optional<Endpoint> endpointOf(std::string_view bytes);
 
--- a/packages/peers/apricothook/peers/apricothook_known_enumerators.hpp
+++ b/packages/peers/apricothook/peers/apricothook_known_enumerators.hpp
@@ -4,9 +4,10 @@
 
 namespace Apricothook {
 
-// Whether a number from the wire, cast to the enumeration, is one of its enumerators. Each is a
-// switch without a default: an enumerator that is added to the model and forgotten here is an
-// error of the compiler (-Wswitch) and not a message that every daemon refuses.
+// These functions tell whether a number received from a peer, cast to the enumeration, is one of
+// its enumerators. The switches have no default case, so that the compiler reports an enumerator
+// that was added to the model but not here (-Wswitch). Otherwise every daemon would reject messages
+// that contain it.
 
 constexpr bool isKnown(MemberState state)
 {
--- a/packages/peers/apricothook/peers/apricothook_peer_codec.cpp
+++ b/packages/peers/apricothook/peers/apricothook_peer_codec.cpp
@@ -38,9 +38,12 @@
     "ShardSummary",   "FloorRaise",    "FloorAcknowledged",   "SuspectNotice",     "LimitDemand",
     "LimitShare",     "RunHint",       "HintQuery",           "HintReply"};
 
-static_assert(!KindNames.back().empty(), "Each kind of message has a name for the metrics.");
+static_assert(!KindNames.back().empty(), "Each message kind needs a name for the metrics.");
 
-/** Reads one message; nothing, and no error, for a kind that only a later version knows. */
+/**
+ * Reads one message. Returns nothing without setting an error if only a later version defines the
+ * message kind.
+ */
 std::optional<PeerMessage> readMessage(CborReader &reader)
 {
     const std::uint64_t items = reader.array();
@@ -78,7 +81,7 @@
         return *reader.error();
     if (!message)
         return CodecError::UnknownKind;
-    if (!reader.rest().empty())
+    if (!reader.remaining().empty())
         return CodecError::Trailing;
     return *std::move(message);
 }
@@ -87,13 +90,13 @@
 {
     DecodedMessages decoded;
     CborReader reader(bytes);
-    while (!reader.rest().empty()) {
-        const std::size_t before = reader.rest().size();
+    while (!reader.remaining().empty()) {
+        const std::size_t before = reader.remaining().size();
         std::optional<PeerMessage> message = readMessage(reader);
         if (reader.error())
             return *reader.error();
         if (message)
-            decoded.messages.push_back({*std::move(message), before - reader.rest().size()});
+            decoded.messages.push_back({*std::move(message), before - reader.remaining().size()});
         else
             ++decoded.unknown;
     }
--- a/packages/peers/apricothook/peers/apricothook_peer_codec.hpp
+++ b/packages/peers/apricothook/peers/apricothook_peer_codec.hpp
@@ -11,20 +11,21 @@
 namespace Apricothook {
 
 /**
- * Messages as CBOR (RFC 8949, by libcbor): [kind, [fields in the order of fields()]].
+ * Encodes a message as CBOR (RFC 8949, with libcbor): [kind, [fields in the order of fields()]].
  *
- * A field that is missing at the end keeps its default and an additional one at the end is ignored,
- * so two versions understand each other. Addresses are kept as 4 or 16 raw bytes and the port.
+ * Trailing fields that are missing keep their defaults and additional trailing fields are ignored,
+ * so that different versions are compatible. Addresses are encoded as 4 or 16 raw bytes and the
+ * port.
  */
 std::string encode(const PeerMessage &message);
 
-/** Reads exactly one message. */
+/** Decodes exactly one message. */
 Result<PeerMessage, CodecError> decode(std::string_view bytes);
 
 struct DecodedMessage
 {
     PeerMessage message;
-    /** Its encoded size. */
+    /** Encoded size. */
     std::size_t bytes = 0;
 };
 
@@ -32,14 +33,14 @@
 struct DecodedMessages
 {
     std::vector<DecodedMessage> messages;
-    /** Messages of kinds that only a later version knows; they are left out. */
+    /** Number of messages that were skipped because only a later version defines their kind. */
     std::size_t unknown = 0;
 };
 
-/** Reads messages that stand one after the other; one bad message refuses all of them. */
+/** Decodes concatenated messages. One invalid message makes the whole input invalid. */
 Result<DecodedMessages, CodecError> decodeAll(std::string_view bytes);
 
-/** The name of the kind with this number on the wire, for metrics; empty when there is none. */
+/** Name of the message kind with this number on the wire, for metrics; empty if undefined. */
 std::string_view kindName(std::size_t kind);
 
 } // namespace Apricothook
--- a/packages/peers/apricothook/peers/apricothook_peer_counters.hpp
+++ b/packages/peers/apricothook/peers/apricothook_peer_counters.hpp
@@ -7,7 +7,7 @@
 
 namespace Apricothook {
 
-/** Messages of one kind and their encoded bytes, without seal and datagram. */
+/** Messages of one kind and their encoded size, excluding the seal and datagram headers. */
 struct KindCount
 {
     std::uint64_t messages = 0;
@@ -17,7 +17,7 @@
 
 constexpr std::size_t PeerMessageKinds = std::variant_size_v<PeerMessage>;
 
-/** What went through a transport since it was opened. Bytes are of UDP payloads. */
+/** Counters of a transport since it was opened. Byte counts are of UDP payloads. */
 struct PeerCounters
 {
     std::array<KindCount, PeerMessageKinds> sent {};
@@ -26,16 +26,16 @@
     std::uint64_t bytesSent = 0;
     std::uint64_t datagramsReceived = 0;
     std::uint64_t bytesReceived = 0;
-    /** Messages above MaximumMessageBytes, never sent. */
+    /** Messages larger than MaximumMessageBytes, which were not sent. */
     std::uint64_t tooLong = 0;
-    /** Datagrams that the kernel didn't take. */
+    /** Datagrams that the kernel didn't accept. */
     std::uint64_t sendFailures = 0;
-    /** Datagrams dropped, by SealError in its order. */
+    /** Dropped datagrams, indexed by SealError. */
     std::array<std::uint64_t, 5> refused {};
-    /** Authenticated datagrams whose payload wasn't messages. */
+    /** Authenticated datagrams whose payload couldn't be decoded. */
     std::uint64_t undecodable = 0;
     std::uint64_t unknownKinds = 0;
-    /** Messages dropped because the core was behind. */
+    /** Messages dropped because the core's inbox was full. */
     std::uint64_t inboxFull = 0;
     auto operator<=>(const PeerCounters &) const = default;
 };
--- a/packages/peers/apricothook/peers/apricothook_peer_keys.cpp
+++ b/packages/peers/apricothook/peers/apricothook_peer_keys.cpp
@@ -13,7 +13,7 @@
 using Rule = PeerKeysError::Rule;
 
 template <typename Number>
-bool parseWhole(std::string_view text, Number &number, int base)
+bool parseNumber(std::string_view text, Number &number, int base)
 {
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number, base);
     return error == std::errc() && end == text.data() + text.size();
@@ -24,7 +24,7 @@
     std::string bytes;
     for (std::size_t i = 0; i < text.size(); i += 2) {
         std::uint8_t byte = 0;
-        if (i + 1 == text.size() || !parseWhole(text.substr(i, 2), byte, 16))
+        if (i + 1 == text.size() || !parseNumber(text.substr(i, 2), byte, 16))
             return std::nullopt;
         bytes.push_back(static_cast<char>(byte));
     }
@@ -38,7 +38,7 @@
     std::string hex;
     std::string extra;
     PeerKey key;
-    if (!(words >> number >> hex) || (words >> extra) || !parseWhole(number, key.number, 10))
+    if (!(words >> number >> hex) || (words >> extra) || !parseNumber(number, key.number, 10))
         return std::nullopt;
     const std::optional<std::string> secret = parseHex(hex);
     if (!secret)
@@ -72,8 +72,8 @@
         const std::size_t start = line.find_first_not_of(" \t\r");
         if (start == std::string::npos || line[start] == '#')
             continue;
-        if (const std::optional<Rule> broken = addLine(line, keys))
-            return PeerKeysError {*broken, number};
+        if (const std::optional<Rule> violated = addLine(line, keys))
+            return PeerKeysError {*violated, number};
     }
     if (keys.empty())
         return PeerKeysError {Rule::NoKey, 0};
--- a/packages/peers/apricothook/peers/apricothook_peer_keys.hpp
+++ b/packages/peers/apricothook/peers/apricothook_peer_keys.hpp
@@ -9,7 +9,7 @@
 
 namespace Apricothook {
 
-/** A secret that all daemons share; its number says which one signed a datagram. */
+/** A secret shared by all daemons. Datagrams carry the number of the key they are signed with. */
 struct PeerKey
 {
     std::uint32_t number = 0;
@@ -17,28 +17,31 @@
     auto operator<=>(const PeerKey &) const = default;
 };
 
-/** The first key signs, all are accepted: keys are changed by adding, moving up, removing. */
+/**
+ * The first key signs; signatures of all keys are accepted. To rotate a key, the new one is added
+ * at the end, moved to the front, and then the old one is removed.
+ */
 using PeerKeys = std::vector<PeerKey>;
 
-/** What is wrong with a key file, and where. */
+/** An error in a key file and its location. */
 struct PeerKeysError
 {
     enum class Rule {
         Unreadable,  ///< The file can't be read.
-        NoKey,       ///< No line holds a key.
-        BadLine,     ///< Not "NUMBER HEX".
-        ShortSecret, ///< Under MinimumSecretBytes.
-        SameNumber,  ///< Two keys with one number.
+        NoKey,       ///< The file contains no key.
+        BadLine,     ///< A line isn't of the form "NUMBER HEX".
+        ShortSecret, ///< A secret is shorter than MinimumSecretBytes.
+        SameNumber,  ///< Two keys have the same number.
     };
     Rule rule = Rule::NoKey;
-    /** Counted from 1; 0 where the error is about the file. */
+    /** Line number, starting at 1; 0 if the error concerns the whole file. */
     std::size_t line = 0;
     auto operator<=>(const PeerKeysError &) const = default;
 };
 
 constexpr std::size_t MinimumSecretBytes = 16;
 
-/** Reads "NUMBER HEX" lines; blank lines and lines that start with '#' are left out. */
+/** Parses lines of the form "NUMBER HEX". Ignores blank lines and lines that start with '#'. */
 Result<PeerKeys, PeerKeysError> parsePeerKeys(std::string_view text);
 Result<PeerKeys, PeerKeysError> readPeerKeys(const std::string &path);
 
--- a/packages/peers/apricothook/peers/apricothook_peer_seal.cpp
+++ b/packages/peers/apricothook/peers/apricothook_peer_seal.cpp
@@ -9,8 +9,11 @@
 namespace {
 
 constexpr std::uint8_t Version = 1;
-/** Array, version, and the largest heads of key number, names, incarnation and sequence. */
-constexpr std::size_t LargestHeads = 1 + 1 + 5 + 3 + 9 + 3 + 9;
+/**
+ * Size of the array header and the version, and the largest CBOR headers of key number, sender,
+ * incarnation, recipient and sequence number.
+ */
+constexpr std::size_t LargestHeaderBytes = 1 + 1 + 5 + 3 + 9 + 3 + 9;
 
 struct Header
 {
@@ -38,11 +41,11 @@
 std::string PeerSealer::seal(const MemberId &recipient, std::string_view payload)
 {
     CborWriter writer;
-    writer.write(Header {Version, m_signer->firstNumber(), m_self, recipient, ++m_sequence});
+    writer.write(Header {Version, m_signer->signingKeyNumber(), m_self, recipient, ++m_sequence});
     std::string datagram = writer.take();
     datagram.append(payload);
     const std::optional<PeerSigner::Signature> signature
-        = m_signer->sign(m_signer->firstNumber(), datagram);
+        = m_signer->sign(m_signer->signingKeyNumber(), datagram);
     if (!signature)
         return {};
     datagram.append(signature->data(), signature->size());
@@ -51,7 +54,8 @@
 
 std::size_t PeerSealer::overhead(const MemberId &recipient) const
 {
-    return LargestHeads + m_self.member.text().size() + recipient.text().size() + PeerSigner::Bytes;
+    return LargestHeaderBytes + m_self.member.text().size() + recipient.text().size()
+        + PeerSigner::Bytes;
 }
 
 PeerOpener::PeerOpener(MemberId self, const PeerKeys &keys)
@@ -73,17 +77,17 @@
     reader.read(header);
     if (reader.error() || header.version != Version)
         return SealError::Malformed;
-    if (!m_signer->knows(header.keyNumber))
+    if (!m_signer->hasKey(header.keyNumber))
         return SealError::UnknownKey;
-    if (!m_signer->isSigned(header.keyNumber, covered, datagram.substr(covered.size())))
+    if (!m_signer->verify(header.keyNumber, covered, datagram.substr(covered.size())))
         return SealError::BadSignature;
     if (!header.recipient.isEmpty() && header.recipient != m_self)
         return SealError::ForAnotherMember;
-    // A datagram that is sent again by somebody else would repeat a message long after its sender
-    // meant it. Receivers are idempotent, but an old Alive or Release must not come back.
+    // An attacker could resend a recorded datagram and so deliver its messages long after they were
+    // valid. Receivers are idempotent, but an outdated Alive or Release must not take effect again.
     if (!m_windows->accept(header.from, header.sequence))
         return SealError::Replayed;
-    return OpenedDatagram {header.from, reader.rest()};
+    return OpenedDatagram {header.from, reader.remaining()};
 }
 
 } // namespace Apricothook
--- a/packages/peers/apricothook/peers/apricothook_peer_seal.hpp
+++ b/packages/peers/apricothook/peers/apricothook_peer_seal.hpp
@@ -14,32 +14,35 @@
 class PeerSigner;
 class ReplayWindows;
 
-/** Why a datagram is dropped. */
+/** Reason why a datagram is dropped. */
 enum class SealError {
-    Malformed,        ///< No header; a stranger or another version.
+    Malformed,        ///< No valid header; sent by a foreign process or another version.
     UnknownKey,       ///< Signed with a key that this daemon doesn't have.
-    BadSignature,     ///< Changed on the way, or not from a daemon of the fleet.
-    ForAnotherMember, ///< The address belonged to another member when it was sent.
-    Replayed,         ///< Came before, or is older than the window.
+    BadSignature,     ///< Modified in transit, or not sent by a daemon of the fleet.
+    ForAnotherMember, ///< Sent to the member that had this address before.
+    Replayed,         ///< Already received, or older than the replay window.
 };
 
 /** An authenticated datagram. */
 struct OpenedDatagram
 {
     MemberInstance from;
-    /** The messages; a view into the datagram. */
+    /** Encoded messages; a view into the datagram. */
     std::string_view payload;
 };
 
-/** Seals datagrams of one daemon; for one thread. */
+/** Signs the datagrams that a daemon sends. Not thread-safe. */
 class PeerSealer
 {
 public:
     PeerSealer(MemberInstance self, const PeerKeys &keys);
     ~PeerSealer();
-    /** Header, payload and signature. An empty recipient: whoever has the address. */
+    /**
+     * Returns header, payload and signature. With an empty recipient, any member at the address
+     * accepts the datagram.
+     */
     std::string seal(const MemberId &recipient, std::string_view payload);
-    /** Bytes that sealing adds at most for this recipient. */
+    /** Upper limit of the bytes that seal() adds to a payload for this recipient. */
     std::size_t overhead(const MemberId &recipient) const;
 
 private:
@@ -48,7 +51,7 @@
     std::uint64_t m_sequence = 0;
 };
 
-/** Opens datagrams that came to one daemon; for one thread. */
+/** Authenticates the datagrams that a daemon receives and rejects replays. Not thread-safe. */
 class PeerOpener
 {
 public:
--- a/packages/peers/apricothook/peers/apricothook_peer_transport.hpp
+++ b/packages/peers/apricothook/peers/apricothook_peer_transport.hpp
@@ -12,23 +12,27 @@
 class CoreInbox;
 class PeerSocket;
 
-/** Largest datagram that several messages share; fits the usual MTU of 1,500 without fragments. */
+/** Largest datagram with several messages; fits the usual MTU of 1,500 without fragmentation. */
 constexpr std::size_t SharedDatagramBytes = 1200;
-/** Largest message; it goes alone and IP fragments it, so that one lost fragment loses it. */
+/**
+ * Largest message. One that exceeds SharedDatagramBytes gets a datagram of its own, which IP
+ * fragments, so that the loss of one fragment loses the message.
+ */
 constexpr std::size_t MaximumMessageBytes = 60'000;
 
 enum class TransportError {
     NoKey,
     BadAddress,
-    CannotBind, ///< The address is in use or isn't of this VM.
+    CannotBind, ///< The address is in use or doesn't belong to this VM.
 };
 
 /**
- * Messages between daemons as authenticated UDP datagrams.
+ * Sends and receives messages between daemons as authenticated UDP datagrams.
  *
- * send() and flush() belong to one thread, the core's: messages wait until flush(), are packed by
- * member and leave at once without blocking; what the kernel doesn't take is lost and counted. A
- * thread of the transport receives, checks and gives PeerMessageReceived to the core.
+ * Only the core's thread may call send() and flush(). send() queues a message; flush() packs the
+ * queued messages by member and sends them without blocking. Datagrams that the kernel doesn't
+ * accept are dropped and counted. The transport's own thread receives and authenticates datagrams
+ * and posts a PeerMessageReceived for each message to the core.
  */
 class PeerTransport : public PeerPort
 {
@@ -41,9 +45,9 @@
 
     void send(const MemberId &to, const Endpoint &address, const PeerMessage &message) override;
     void flush() override;
-    /** Ends the receiving thread; nothing is given to the core after it. */
+    /** Stops the receiving thread. Afterwards, no further events are posted to the core. */
     void stop();
-    /** Of any thread; figures may be a message apart. */
+    /** Thread-safe. The counters aren't read atomically and may differ by a message. */
     PeerCounters counters() const;
 
 private:
--- a/packages/peers/apricothook/peers/internal/apricothook_peer_address.hpp
+++ b/packages/peers/apricothook/peers/internal/apricothook_peer_address.hpp
@@ -8,7 +8,7 @@
 
 namespace Apricothook {
 
-/** Without a name service: addresses are in numbers. Nothing where it isn't one. */
+/** Converts a numeric address without DNS; returns nothing if the address isn't numeric. */
 std::optional<ACE_INET_Addr> socketAddress(const Endpoint &endpoint);
 Endpoint endpointOf(const ACE_INET_Addr &address);
 
--- a/packages/peers/apricothook/peers/internal/apricothook_peer_packer.cpp
+++ b/packages/peers/apricothook/peers/internal/apricothook_peer_packer.cpp
@@ -11,7 +11,7 @@
         open.clear();
     }
     open.append(message);
-    m_waiting += message.size();
+    m_pendingBytes += message.size();
 }
 
 std::vector<PackedMessages> PeerPacker::take()
@@ -21,7 +21,7 @@
         packed.push_back({destination.first, destination.second, std::move(payload)});
     m_full.clear();
     m_open.clear();
-    m_waiting = 0;
+    m_pendingBytes = 0;
     return packed;
 }
 
--- a/packages/peers/apricothook/peers/internal/apricothook_peer_packer.hpp
+++ b/packages/peers/apricothook/peers/internal/apricothook_peer_packer.hpp
@@ -10,7 +10,7 @@
 
 namespace Apricothook {
 
-/** Messages that leave in one datagram. */
+/** Encoded messages that are sent in one datagram. */
 struct PackedMessages
 {
     MemberId to;
@@ -19,22 +19,22 @@
     auto operator<=>(const PackedMessages &) const = default;
 };
 
-/** Puts messages to one member together, up to the size of one unfragmented datagram. */
+/** Packs messages for the same member together, up to the size of an unfragmented datagram. */
 class PeerPacker
 {
 public:
-    /** `limit`: payload bytes of a shared datagram; a longer message gets one of its own. */
+    /** `limit`: payload bytes of a shared datagram. A larger message gets its own datagram. */
     void add(const MemberId &to, const Endpoint &address, const std::string &message,
              std::size_t limit);
-    /** All that was added, in order for each member. */
+    /** Removes and returns all messages, in the order of addition for each member. */
     std::vector<PackedMessages> take();
-    /** Payload bytes that wait. */
-    std::size_t waiting() const { return m_waiting; }
+    /** Payload bytes added since the last take(). */
+    std::size_t pendingBytes() const { return m_pendingBytes; }
 
 private:
     std::vector<PackedMessages> m_full;
     std::map<std::pair<MemberId, Endpoint>, std::string> m_open;
-    std::size_t m_waiting = 0;
+    std::size_t m_pendingBytes = 0;
 };
 
 } // namespace Apricothook
--- a/packages/peers/apricothook/peers/internal/apricothook_peer_signer.cpp
+++ b/packages/peers/apricothook/peers/internal/apricothook_peer_signer.cpp
@@ -46,33 +46,34 @@
 
 PeerSigner::~PeerSigner() = default;
 
-std::uint32_t PeerSigner::firstNumber() const
+std::uint32_t PeerSigner::signingKeyNumber() const
 {
     return m_keys.empty() ? 0 : m_keys.front().number;
 }
 
-const PeerSigner::Keyed *PeerSigner::find(std::uint32_t number) const
+const PeerSigner::KeyContext *PeerSigner::find(std::uint32_t number) const
 {
-    const auto key = std::find_if(m_keys.begin(), m_keys.end(), [number](const Keyed &candidate) {
-        return candidate.number == number;
-    });
+    const auto key
+        = std::find_if(m_keys.begin(), m_keys.end(), [number](const KeyContext &candidate) {
+              return candidate.number == number;
+          });
     return key == m_keys.end() ? nullptr : &*key;
 }
 
-bool PeerSigner::knows(std::uint32_t number) const
+bool PeerSigner::hasKey(std::uint32_t number) const
 {
     return find(number) != nullptr;
 }
 
 std::optional<PeerSigner::Signature> PeerSigner::sign(std::uint32_t number, std::string_view bytes)
 {
-    const Keyed *key = find(number);
+    const KeyContext *key = find(number);
     if (!key)
         return std::nullopt;
     EVP_MAC_CTX *context = key->context.get();
     std::array<unsigned char, DigestBytes> digest;
     std::size_t size = 0;
-    // Without a key, init starts again with the key that the context has.
+    // Without a key, EVP_MAC_init() resets the context and keeps its key.
     if (EVP_MAC_init(context, nullptr, 0, nullptr) != 1
         || EVP_MAC_update(context, raw(bytes), bytes.size()) != 1
         || EVP_MAC_final(context, digest.data(), &size, digest.size()) != 1)
@@ -82,10 +83,11 @@
     return signature;
 }
 
-bool PeerSigner::isSigned(std::uint32_t number, std::string_view bytes, std::string_view signature)
+bool PeerSigner::verify(std::uint32_t number, std::string_view bytes, std::string_view signature)
 {
     const std::optional<Signature> own = sign(number, bytes);
-    // Compared in constant time: the time must not tell how many bytes of a guess were right.
+    // The comparison takes constant time, so that its duration doesn't reveal how many bytes of a
+    // forged signature are correct.
     return own && signature.size() == Bytes
         && CRYPTO_memcmp(own->data(), signature.data(), Bytes) == 0;
 }
--- a/packages/peers/apricothook/peers/internal/apricothook_peer_signer.hpp
+++ b/packages/peers/apricothook/peers/internal/apricothook_peer_signer.hpp
@@ -13,7 +13,10 @@
 
 namespace Apricothook {
 
-/** HMAC-SHA256 cut to 16 bytes. Not for two threads at once: it keeps OpenSSL's state per key. */
+/**
+ * Signs and verifies with HMAC-SHA256, truncated to 16 bytes. Not thread-safe, as it holds an
+ * OpenSSL context for each key.
+ */
 class PeerSigner
 {
 public:
@@ -22,27 +25,27 @@
 
     explicit PeerSigner(const PeerKeys &keys);
     ~PeerSigner();
-    /** The key that signs. */
-    std::uint32_t firstNumber() const;
-    bool knows(std::uint32_t number) const;
-    /** Nothing for a key number that isn't known. */
+    /** Number of the key that signs. */
+    std::uint32_t signingKeyNumber() const;
+    bool hasKey(std::uint32_t number) const;
+    /** Returns nothing if there is no key with this number. */
     std::optional<Signature> sign(std::uint32_t number, std::string_view bytes);
-    bool isSigned(std::uint32_t number, std::string_view bytes, std::string_view signature);
+    bool verify(std::uint32_t number, std::string_view bytes, std::string_view signature);
 
 private:
     struct Free
     {
         void operator()(evp_mac_ctx_st *context) const;
     };
-    struct Keyed
+    struct KeyContext
     {
         std::uint32_t number = 0;
         std::unique_ptr<evp_mac_ctx_st, Free> context;
     };
 
-    const Keyed *find(std::uint32_t number) const;
+    const KeyContext *find(std::uint32_t number) const;
 
-    std::vector<Keyed> m_keys;
+    std::vector<KeyContext> m_keys;
 };
 
 } // namespace Apricothook
--- a/packages/peers/apricothook/peers/internal/apricothook_peer_socket.cpp
+++ b/packages/peers/apricothook/peers/internal/apricothook_peer_socket.cpp
@@ -8,11 +8,11 @@
 namespace {
 
 constexpr std::size_t LargestDatagram = 65'536;
-/** How long the receiving thread waits before it looks whether it should stop. */
+/** Interval at which the receiving thread checks whether it should stop. */
 constexpr long StopCheckMicroseconds = 100'000;
-/** Payload that may wait for flush(); a core that forgot to flush must not fill the memory. */
-constexpr std::size_t MaximumWaitingBytes = 1024UL * 1024;
-/** Datagrams that may come at once while the thread is busy: some milliseconds of a burst. */
+/** Payload that may be queued until flush(), so that a missing flush doesn't exhaust memory. */
+constexpr std::size_t MaximumQueuedBytes = 1024UL * 1024;
+/** Holds some milliseconds of a burst of datagrams while the receiving thread is busy. */
 constexpr int ReceiveBufferBytes = 1024 * 1024;
 
 } // namespace
@@ -47,17 +47,17 @@
     ++kind.messages;
     kind.bytes += bytes.size();
     m_packer.add(to, address, bytes, SharedDatagramBytes - m_sealer.overhead(to));
-    if (m_packer.waiting() > MaximumWaitingBytes)
+    if (m_packer.pendingBytes() > MaximumQueuedBytes)
         flush();
 }
 
 void PeerSocket::flush()
 {
     for (const PackedMessages &packed : m_packer.take())
-        sendOne(packed);
+        sendDatagram(packed);
 }
 
-void PeerSocket::sendOne(const PackedMessages &packed)
+void PeerSocket::sendDatagram(const PackedMessages &packed)
 {
     const std::optional<ACE_INET_Addr> address = socketAddress(packed.address);
     const std::string datagram = m_sealer.seal(packed.to, packed.payload);
@@ -83,23 +83,24 @@
 {
     std::string buffer(LargestDatagram, '\0');
     while (!m_isStopping)
-        receiveOne(buffer);
+        receiveDatagram(buffer);
     return 0;
 }
 
-void PeerSocket::receiveOne(std::string &buffer)
+void PeerSocket::receiveDatagram(std::string &buffer)
 {
-    const ACE_Time_Value patience(0, StopCheckMicroseconds);
+    const ACE_Time_Value timeout(0, StopCheckMicroseconds);
     ACE_INET_Addr from;
-    const ssize_t size = m_socket.recv(buffer.data(), buffer.size(), from, 0, &patience);
+    const ssize_t size = m_socket.recv(buffer.data(), buffer.size(), from, 0, &timeout);
     if (size <= 0)
         return;
     ++m_counters.datagramsReceived;
     m_counters.bytesReceived += static_cast<std::uint64_t>(size);
-    take(std::string_view(buffer).substr(0, static_cast<std::size_t>(size)), endpointOf(from));
+    handleDatagram(std::string_view(buffer).substr(0, static_cast<std::size_t>(size)),
+                   endpointOf(from));
 }
 
-void PeerSocket::take(std::string_view datagram, const Endpoint &address)
+void PeerSocket::handleDatagram(std::string_view datagram, const Endpoint &address)
 {
     const Result<OpenedDatagram, SealError> opened = m_opener.open(datagram);
     if (!opened) {
@@ -113,10 +114,11 @@
     }
     m_counters.unknownKinds += decoded.value().unknown;
     for (DecodedMessage &message : decoded.value().messages)
-        give(opened.value().from, address, std::move(message));
+        deliver(opened.value().from, address, std::move(message));
 }
 
-void PeerSocket::give(const MemberInstance &from, const Endpoint &address, DecodedMessage decoded)
+void PeerSocket::deliver(const MemberInstance &from, const Endpoint &address,
+                         DecodedMessage decoded)
 {
     PeerCounterTable::Kind &kind = m_counters.received[decoded.message.index()];
     ++kind.messages;
--- a/packages/peers/apricothook/peers/internal/apricothook_peer_socket.hpp
+++ b/packages/peers/apricothook/peers/internal/apricothook_peer_socket.hpp
@@ -13,7 +13,7 @@
 
 namespace Apricothook {
 
-/** The socket of a transport with the thread that receives from it. */
+/** UDP socket of a transport and the thread that receives from it. */
 class PeerSocket : public ACE_Task_Base
 {
 public:
@@ -29,10 +29,10 @@
     int svc() override;
 
 private:
-    void sendOne(const PackedMessages &packed);
-    void receiveOne(std::string &buffer);
-    void take(std::string_view datagram, const Endpoint &address);
-    void give(const MemberInstance &from, const Endpoint &address, DecodedMessage decoded);
+    void sendDatagram(const PackedMessages &packed);
+    void receiveDatagram(std::string &buffer);
+    void handleDatagram(std::string_view datagram, const Endpoint &address);
+    void deliver(const MemberInstance &from, const Endpoint &address, DecodedMessage decoded);
 
     CoreInbox &m_inbox;
     PeerSealer m_sealer;
--- a/packages/peers/apricothook/peers/internal/apricothook_replay_window.hpp
+++ b/packages/peers/apricothook/peers/internal/apricothook_replay_window.hpp
@@ -6,15 +6,19 @@
 namespace Apricothook {
 
 /**
- * Which of the last sequence numbers of one sender have come. The numbers count all datagrams of
- * the sender, whoever they are for: the window holds some seconds of its busiest sending.
+ * Records which of the latest sequence numbers of one sender have been received. The sender numbers
+ * its datagrams to all receivers in one sequence, so that the window covers some seconds at its
+ * highest sending rate.
  */
 class ReplayWindow
 {
 public:
     static constexpr std::uint64_t Size = 1024;
 
-    /** False for a number that has come or is older than the window; otherwise notes it. */
+    /**
+     * Returns false if the number has been received before or is older than the window; otherwise
+     * records it.
+     */
     bool accept(std::uint64_t sequence);
 
 private:
--- a/packages/peers/apricothook/peers/internal/apricothook_replay_windows.hpp
+++ b/packages/peers/apricothook/peers/internal/apricothook_replay_windows.hpp
@@ -9,13 +9,17 @@
 namespace Apricothook {
 
 /**
- * A window for each sender's life. Two lives of one member have one each, as a process that was
- * replaced while paused must still be heard to be told so.
+ * Replay windows, one for each instance of each sender. Two instances of a member are tracked
+ * separately, because a process that was replaced while it was paused must still be received in
+ * order to be told so.
  */
 class ReplayWindows
 {
 public:
-    /** Lives kept: more than twice the fleet and a day of replacements; the longest silent goes. */
+    /**
+     * Number of instances tracked: more than twice the fleet and a day of replacements. The one
+     * that has been silent for longest is evicted.
+     */
     static constexpr std::size_t Capacity = 1024;
 
     bool accept(const MemberInstance &sender, std::uint64_t sequence);
@@ -27,7 +31,7 @@
         std::uint64_t lastUse = 0;
     };
 
-    void forgetOne();
+    void evictOldest();
 
     std::map<MemberInstance, Entry> m_entries;
     std::uint64_t m_uses = 0;
--- a/packages/peers/benchmarks/apricothook_cost.hpp
+++ b/packages/peers/benchmarks/apricothook_cost.hpp
@@ -4,10 +4,10 @@
 
 namespace Apricothook {
 
-/** Processor time of this process, both ends of the exchange included, in microseconds. */
+/** Processor time used by this process, which runs both ends of the exchange. */
 double processorMicroseconds();
 
-/** One exchange of a GrantRequest and its reply, both ends together. */
+/** Cost of one exchange of a GrantRequest and its reply, for both ends together. */
 struct ExchangeCost
 {
     double microseconds = 0;
@@ -15,7 +15,7 @@
     std::size_t replyBytes = 0;
 };
 
-/** By libjsonrpccpp over HTTP on the loopback; bytes are of the TCP streams. */
+/** Measures libjsonrpccpp over HTTP on the loopback. Byte counts are of the TCP streams. */
 ExchangeCost jsonRpcCost(int calls);
 
 } // namespace Apricothook
--- a/packages/peers/benchmarks/apricothook_json_rpc_cost.cpp
+++ b/packages/peers/benchmarks/apricothook_json_rpc_cost.cpp
@@ -22,7 +22,7 @@
 constexpr int ServerPort = 18'471;
 constexpr int CapturePort = 18'472;
 
-/** The same fields as the GrantRequest of the comparison. */
+/** The same fields as the GrantRequest that it is compared with. */
 Json::Value grantRequest()
 {
     Json::Value request;
@@ -61,18 +61,18 @@
 
 std::string receiveAll(ACE_SOCK_Stream &stream)
 {
-    const ACE_Time_Value patience(0, 200'000);
+    const ACE_Time_Value timeout(0, 200'000);
     std::string bytes;
     std::array<char, 4096> buffer;
     for (;;) {
-        const ssize_t size = stream.recv(buffer.data(), buffer.size(), &patience);
+        const ssize_t size = stream.recv(buffer.data(), buffer.size(), &timeout);
         if (size <= 0)
             return bytes;
         bytes.append(buffer.data(), static_cast<std::size_t>(size));
     }
 }
 
-/** The bytes that the client writes for a call. */
+/** Returns the bytes that the client sends for a call. */
 std::string captureRequest()
 {
     ACE_SOCK_Acceptor acceptor(ACE_INET_Addr(CapturePort, "127.0.0.1"), 1);
@@ -88,7 +88,7 @@
     try {
         client.CallMethod("grant", grantRequest());
     } catch (const JsonRpcException &) {
-        // The capturing end answers nothing.
+        // Expected, as the capturing server sends no response.
     }
     server.join();
     acceptor.close();
