--- a/packages/peers/benchmarks/apricothook_peers_cost.cpp
+++ b/packages/peers/benchmarks/apricothook_peers_cost.cpp
@@ -137,7 +137,7 @@
     BoundedQueue<CoreEvent> m_ring {64};
 };
 
-/** Both ends with their sockets, threads and rings. */
+/** Measures both ends with their sockets, threads and queues. */
 ExchangeCost messageCost(int exchanges)
 {
     const Endpoint firstAddress {"127.0.0.1", 18'473};
@@ -150,9 +150,9 @@
     for (int i = 0; i < exchanges; ++i) {
         first.value()->send(Second.member, secondAddress, grantRequest());
         first.value()->flush();
-        const PeerMessageReceived asked = secondInbox.take();
+        const PeerMessageReceived received = secondInbox.take();
         second.value()->send(First.member, firstAddress,
-                             grantReply(std::get<GrantRequest>(asked.message)));
+                             grantReply(std::get<GrantRequest>(received.message)));
         second.value()->flush();
         firstInbox.take();
     }
--- a/packages/peers/tests/apricothook_message_filler.hpp
+++ b/packages/peers/tests/apricothook_message_filler.hpp
@@ -9,7 +9,10 @@
 
 namespace Apricothook {
 
-/** Fills the fields of any message with values from a seed; an archive of fields(). */
+/**
+ * Fills the fields of any message with random values from a seed. Implements the archive interface
+ * that fields() expects.
+ */
 class MessageFiller
 {
 public:
@@ -28,7 +31,7 @@
 
 private:
     std::uint64_t below(std::uint64_t bound) { return m_engine() % bound; }
-    /** Of any length in bits, so that each size of a number is met. */
+    /** A number of random bit length, so that all encoded sizes occur. */
     std::uint64_t number() { return m_engine() >> below(64); }
 
     std::string text()
--- a/packages/peers/tests/apricothook_peer_codec_tests.cpp
+++ b/packages/peers/tests/apricothook_peer_codec_tests.cpp
@@ -23,7 +23,7 @@
     return wanted ? std::stoul(wanted) : 20'000;
 }
 
-std::string broken(std::string bytes, std::mt19937_64 &engine)
+std::string corrupted(std::string bytes, std::mt19937_64 &engine)
 {
     const std::size_t changes = 1 + engine() % 4;
     for (std::size_t i = 0; i < changes && !bytes.empty(); ++i) {
@@ -61,7 +61,7 @@
 
 } // namespace
 
-TEST_CASE("Every kind of message is read as it was written")
+TEST_CASE("Every kind of message survives a round trip")
 {
     for (std::size_t kind = 0; kind < Kinds; ++kind) {
         CAPTURE(kind);
@@ -75,7 +75,7 @@
     }
 }
 
-TEST_CASE("Messages of a datagram are read in order with their sizes")
+TEST_CASE("The messages of a datagram are decoded in order with their sizes")
 {
     const std::string first = encode(DigestRequest {7});
     const std::string second = encode(VmListRequest {300});
@@ -86,16 +86,16 @@
     CHECK(decoded.value().messages[1].bytes == second.size());
 }
 
-TEST_CASE("Two versions understand each other")
+TEST_CASE("Messages of different versions are compatible")
 {
-    SUBCASE("a field that an older sender doesn't know keeps its default")
+    SUBCASE("a field that an older sender leaves out keeps its default")
     {
-        // [8, [5]]: a DigestReply without its digest.
+        // [8, [5]]: a DigestReply without a digest.
         const auto decoded = decode(bytesOf({0x82, 0x08, 0x81, 0x05}));
         REQUIRE(decoded);
         CHECK(decoded.value() == PeerMessage(DigestReply {5, {}}));
     }
-    SUBCASE("fields that a newer sender added are left out, whatever they hold")
+    SUBCASE("fields that a newer sender added are skipped, whatever they contain")
     {
         // [7, [5, [[], {1: "a"}], 2.5], 6]
         const auto decoded = decode(bytesOf(
@@ -103,7 +103,7 @@
         REQUIRE(decoded);
         CHECK(decoded.value() == PeerMessage(DigestRequest {5}));
     }
-    SUBCASE("a kind of a later version costs only itself")
+    SUBCASE("a message kind of a later version is skipped without affecting the others")
     {
         const std::string later = bytesOf({0x82, 0x18, 0xc8, 0x81, 0x05});
         CHECK(errorOf(later) == CodecError::UnknownKind);
@@ -114,13 +114,13 @@
     }
 }
 
-TEST_CASE("What a field can't hold is refused with its own error")
+TEST_CASE("Invalid field values are rejected with specific errors")
 {
     CHECK(errorOf("") == CodecError::Truncated);
     CHECK(errorOf(encode(DigestRequest {1}) + "x") == CodecError::Trailing);
     CHECK(errorOf(bytesOf({0x82, 0x07, 0x81, 0x61, 'a'})) == CodecError::WrongType);
     CHECK(errorOf(bytesOf({0x9f, 0x07, 0x81, 0x05, 0xff})) == CodecError::Malformed);
-    // A FloorRaise with tier 0, an OutcomeReport with an end that isn't defined.
+    // A FloorRaise with tier 0 and an OutcomeReport with an undefined KeyEnd.
     CHECK(errorOf(bytesOf({0x82, 0x15, 0x82, 0x60, 0x00})) == CodecError::OutOfRange);
     CHECK(errorOf(bytesOf({0x82, 0x0b, 0x83, 0x80, 0x60, 0x03})) == CodecError::OutOfRange);
     KeyQuery query;
@@ -131,16 +131,16 @@
     CHECK(errorOf(encode(list)) == CodecError::TooLong);
 }
 
-TEST_CASE("No input makes the reader crash, loop or reserve what isn't there")
+TEST_CASE("No input makes the decoder crash, hang or over-allocate")
 {
-    // A daemon of another version, a damaged frame or a stranger sends bytes that are almost a
-    // message. The reader must answer with a message or an error; a crash would take the daemon
-    // and the requests in it.
+    // A daemon of another version, a corrupted datagram or a foreign process delivers bytes that
+    // resemble a message. The decoder must return a message or an error: a crash would end the
+    // daemon and all requests in it.
     std::mt19937_64 engine(FuzzSeed);
     std::size_t refused = 0;
     for (std::size_t input = 0; input < fuzzInputs(); ++input) {
         const std::string whole = encode(MessageFiller(engine()).message(engine() % Kinds));
-        const std::string bytes = input % 4 == 0 ? randomBytes(engine) : broken(whole, engine);
+        const std::string bytes = input % 4 == 0 ? randomBytes(engine) : corrupted(whole, engine);
         const Result<PeerMessage, CodecError> decoded = decode(bytes);
         if (decoded)
             CHECK(decode(encode(decoded.value())).has_value());
@@ -148,7 +148,7 @@
             ++refused;
     }
     CHECK(refused > fuzzInputs() / 4);
-    // 2^60 items, and ten thousand arrays one in the other in a field that is skipped.
+    // An array that claims 2^60 items, and ten thousand nested arrays in a field that is skipped.
     CHECK(errorOf(bytesOf({0x9b, 0x10, 0, 0, 0, 0, 0, 0, 0, 1})) == CodecError::Truncated);
     CHECK(errorOf(bytesOf({0x82, 0x07, 0x82, 0x05}) + std::string(10'000, '\x81'))
           == CodecError::Truncated);
--- a/packages/peers/tests/apricothook_peer_seal_tests.cpp
+++ b/packages/peers/tests/apricothook_peer_seal_tests.cpp
@@ -29,7 +29,7 @@
 
 } // namespace
 
-TEST_CASE("A sealed datagram opens once, with its sender and payload")
+TEST_CASE("A sealed datagram can be opened once and yields its sender and payload")
 {
     PeerSealer sealer(Sender, {OldKey});
     PeerOpener opener(Receiver, {OldKey});
@@ -40,14 +40,14 @@
     CHECK(opened.value().from == Sender);
     CHECK(opened.value().payload == "payload");
     CHECK(refusalOf(opener, datagram) == SealError::Replayed);
-    // To whoever has the address: a joining daemon knows seeds by address alone.
+    // A joining daemon knows only the addresses of seeds, so it leaves the recipient empty.
     CHECK(opener.open(sealer.seal(MemberId(), "join")).has_value());
 }
 
-TEST_CASE("Each changed byte is refused")
+TEST_CASE("A datagram with any modified byte is rejected")
 {
-    // Something between two daemons changes a byte or makes up a datagram. Without the signature
-    // a forged update would take a live daemon out of service, or a forged grant run work twice.
+    // A datagram is modified in transit or forged. Without the signature, a forged member update
+    // could take a live daemon out of service, and a forged grant could run a request twice.
     PeerSealer sealer(Sender, {OldKey});
     PeerOpener opener(Receiver, {OldKey});
     const std::string datagram = sealer.seal(Receiver, "payload");
@@ -61,10 +61,11 @@
     CHECK(refusalOf(opener, sealer.seal(MemberId("entry-3"), "x")) == SealError::ForAnotherMember);
 }
 
-TEST_CASE("Keys change without a stop")
+TEST_CASE("Keys can be rotated without downtime")
 {
-    // Daemons get the new key file one by one. In between some sign with the old key and some with
-    // the new one; a daemon that has only one of them must not be cut off before its turn.
+    // Daemons receive the new key file one after the other. Meanwhile some sign with the old key
+    // and some with the new one. A daemon that has only one of them must not be cut off, so those
+    // that have both must accept both.
     PeerSealer oldSealer(Sender, {OldKey, NewKey});
     PeerSealer newSealer({MemberId("entry-3"), Incarnation(1)}, {NewKey, OldKey});
     PeerOpener both(Receiver, {NewKey, OldKey});
@@ -73,11 +74,11 @@
     CHECK(both.open(newSealer.seal(Receiver, "b")).has_value());
     CHECK(onlyNew.open(newSealer.seal(Receiver, "c")).has_value());
     CHECK(refusalOf(onlyNew, oldSealer.seal(Receiver, "d")) == SealError::UnknownKey);
-    PeerSealer stranger(Sender, {{1, "another secret !"}});
-    CHECK(refusalOf(both, stranger.seal(Receiver, "e")) == SealError::BadSignature);
+    PeerSealer foreign(Sender, {{1, "another secret !"}});
+    CHECK(refusalOf(both, foreign.seal(Receiver, "e")) == SealError::BadSignature);
 }
 
-TEST_CASE("Reordered datagrams open and old ones don't")
+TEST_CASE("Reordered datagrams are accepted, replayed and outdated ones are rejected")
 {
     PeerSealer sealer(Sender, {OldKey});
     PeerOpener opener(Receiver, {OldKey});
@@ -92,12 +93,12 @@
     CHECK(opener.open(datagrams[2999]).has_value());
     CHECK(refusalOf(opener, datagrams[1500]) == SealError::Replayed);
     CHECK(opener.open(datagrams[2998]).has_value());
-    // Another life counts for itself: a paused process is heard beside the one that replaced it.
-    PeerSealer replaced({Sender.member, Incarnation(6)}, {OldKey});
-    CHECK(opener.open(replaced.seal(Receiver, "y")).has_value());
+    // Each instance has its own window: a paused process is still received after its replacement.
+    PeerSealer restarted({Sender.member, Incarnation(6)}, {OldKey});
+    CHECK(opener.open(restarted.seal(Receiver, "y")).has_value());
 }
 
-TEST_CASE("A key file names the line that is wrong")
+TEST_CASE("Errors in a key file are reported with their line")
 {
     using Rule = PeerKeysError::Rule;
     const std::string hex(32, 'a');
--- a/packages/peers/tests/apricothook_peer_transport_tests.cpp
+++ b/packages/peers/tests/apricothook_peer_transport_tests.cpp
@@ -20,17 +20,17 @@
 const PeerKeys Keys {{1, "0123456789abcdef"}};
 const MemberInstance First {MemberId("entry-1"), Incarnation(1)};
 const MemberInstance Second {MemberId("entry-2"), Incarnation(1)};
-constexpr Duration Patience = std::chrono::seconds(5);
+constexpr Duration Timeout = std::chrono::seconds(5);
 
 class FakeInbox : public CoreInbox
 {
 public:
-    explicit FakeInbox(std::size_t room) : m_ring(room) { }
+    explicit FakeInbox(std::size_t capacity) : m_ring(capacity) { }
     bool tryPost(CoreEvent event) override { return m_ring.tryPush(std::move(event)); }
     void post(CoreEvent event) override { m_ring.tryPush(std::move(event)); }
-    std::optional<PeerMessageReceived> take(Duration patience = Patience)
+    std::optional<PeerMessageReceived> take(Duration timeout = Timeout)
     {
-        const std::optional<CoreEvent> event = m_ring.pop(patience);
+        const std::optional<CoreEvent> event = m_ring.pop(timeout);
         if (!event)
             return std::nullopt;
         return std::get<PeerMessageReceived>(*event);
@@ -40,7 +40,7 @@
     BoundedQueue<CoreEvent> m_ring;
 };
 
-/** A port of the loopback that was free a moment ago. */
+/** An endpoint on the loopback whose port has just been free. */
 Endpoint freeEndpoint()
 {
     ACE_SOCK_Dgram socket(ACE_INET_Addr(static_cast<u_short>(0), "127.0.0.1"));
@@ -52,10 +52,10 @@
 
 struct Daemon
 {
-    explicit Daemon(const MemberInstance &life, std::size_t room = 100)
+    explicit Daemon(const MemberInstance &instance, std::size_t capacity = 100)
         : address(freeEndpoint())
-        , inbox(room)
-        , transport(PeerTransport::open(life, address, Keys, inbox).value())
+        , inbox(capacity)
+        , transport(PeerTransport::open(instance, address, Keys, inbox).value())
     {
     }
     Endpoint address;
@@ -65,7 +65,7 @@
 
 } // namespace
 
-TEST_CASE("Messages to one member travel in one datagram")
+TEST_CASE("Messages to the same member are sent in one datagram")
 {
     Daemon first(First);
     Daemon second(Second);
@@ -88,7 +88,7 @@
     CHECK(received.bytesReceived == sent.bytesSent);
 }
 
-TEST_CASE("A message as large as may be arrives, and a larger one is counted")
+TEST_CASE("A large message arrives, and one above the limit is counted and not sent")
 {
     Daemon first(First);
     Daemon second(Second);
@@ -105,10 +105,11 @@
     CHECK(first.transport->counters().tooLong == 1);
 }
 
-TEST_CASE("Strangers, replays and a core that is behind cost a count and nothing else")
+TEST_CASE("Foreign and replayed datagrams and a full inbox are only counted")
 {
-    // A stranger sends to the port, somebody repeats a datagram that was recorded, and the core is
-    // too slow to take all. The caller sees nothing of it: the receiving thread drops and counts.
+    // A foreign process sends to the port, a recorded datagram is replayed, and the core is too
+    // slow to take all messages. Callers must not be affected: the receiving thread drops and
+    // counts these datagrams.
     Daemon daemon(Second, 1);
     ACE_SOCK_Dgram socket(ACE_INET_Addr(static_cast<u_short>(0), "127.0.0.1"));
     const ACE_INET_Addr address(daemon.address.port, "127.0.0.1");
@@ -119,7 +120,7 @@
                                      sealer.seal(Second.member, "not CBOR"), last})
         CHECK(socket.send(bytes.data(), bytes.size(), address) > 0);
     socket.close();
-    // The only place of the inbox is taken by the first message until the last one has come.
+    // The first message fills the inbox, which has room for one, until the last one has arrived.
     constexpr std::uint64_t Sent = 5;
     while (daemon.transport->counters().datagramsReceived < Sent)
         std::this_thread::yield();
@@ -132,7 +133,7 @@
     CHECK(daemon.inbox.take()->message == PeerMessage(DigestRequest {1}));
 }
 
-TEST_CASE("A daemon that can't have its address is told why")
+TEST_CASE("Opening a transport without a key or a usable address returns the reason")
 {
     Daemon first(First);
     FakeInbox inbox(1);
@@ -143,7 +144,7 @@
           == TransportError::BadAddress);
 }
 
-TEST_CASE("The packer fills shared datagrams and lets long messages go alone")
+TEST_CASE("The packer fills shared datagrams and puts large messages into their own")
 {
     PeerPacker packer;
     const MemberId to("entry-2");
