--- a/cmake/ApricothookLibraries.cmake
+++ b/cmake/ApricothookLibraries.cmake
@@ -1,4 +1,4 @@
-# The Debian libraries that the packages use, one imported target each.
+# Imports the Debian libraries used by the packages, one target per library.
 find_package(PkgConfig REQUIRED)
 find_package(Threads REQUIRED)
 find_package(OpenSSL REQUIRED)
--- a/cmake/ApricothookPackage.cmake
+++ b/cmake/ApricothookPackage.cmake
@@ -1,7 +1,7 @@
 # apricothook_package(NAME [DEPENDS packages...] [LIBRARIES targets...])
 #
-# Builds the static library apricothook_NAME from apricothook/NAME/**.cpp and, where the package has
-# a folder tests/, the doctest program apricothook_NAME_tests.
+# Adds the static library apricothook_NAME from apricothook/NAME/**.cpp. If the package has a folder
+# tests/, also adds the doctest program apricothook_NAME_tests.
 function(apricothook_package name)
     cmake_parse_arguments(PACKAGE "" "" "DEPENDS;LIBRARIES" ${ARGN})
     file(GLOB_RECURSE sources CONFIGURE_DEPENDS ${CMAKE_CURRENT_SOURCE_DIR}/apricothook/*.cpp)
@@ -27,13 +27,13 @@
         apricothook_known_red(${name} excluded)
         add_test(NAME ${name} COMMAND apricothook_${name}_tests ${excluded})
         set_tests_properties(${name} PROPERTIES TIMEOUT 300
-            # Random tests give the same verdict every run; change the seed to look further.
+            # A fixed seed makes property-based tests reproducible; other seeds explore further cases.
             ENVIRONMENT "RC_PARAMS=seed=20261202")
     endif()
 endfunction()
 
-# The doctest argument that leaves out what KNOWN-RED.txt lists for the package, one test a line:
-# PACKAGE | TEST CASE | CAUSE | ISSUE. tools/scripts/test prints the file.
+# Sets `argument` to the doctest argument that excludes the package's tests listed in KNOWN-RED.txt,
+# one per line: PACKAGE | TEST CASE | CAUSE | ISSUE. tools/scripts/test prints the file.
 function(apricothook_known_red name argument)
     set(${argument} "" PARENT_SCOPE)
     set(file ${CMAKE_SOURCE_DIR}/KNOWN-RED.txt)
--- a/cmake/doctest_main.cpp
+++ b/cmake/doctest_main.cpp
@@ -5,7 +5,7 @@
 
 int main(int argc, char **argv)
 {
-    // Tests close pipes under their writers, as readers of logs and connections do.
+    // Tests close pipes and sockets that are still written to; ignore the resulting SIGPIPE.
     std::signal(SIGPIPE, SIG_IGN);
     return doctest::Context(argc, argv).run();
 }
--- a/tools/soak/daemons.py
+++ b/tools/soak/daemons.py
@@ -1,4 +1,4 @@
-"""The real programs, each a process with settings of its own; they are ended by their ids."""
+"""Daemon processes under test, each with its own settings; signals are sent by process id."""
 
 import asyncio
 import contextlib
@@ -49,7 +49,7 @@
 
 @dataclass
 class Daemon:
-    """One VM's daemon; `base` and the four ports after it are its own on its address."""
+    """The daemon of one VM. It listens on port `base` and the four ports after it, on its own loopback address."""
 
     index: int
     base: int
@@ -57,9 +57,9 @@
     program: pathlib.Path
     folder: pathlib.Path
     process: asyncio.subprocess.Process | None = None
-    # When something was done to it, its links or its store; promises with times don't count then.
-    last_harm: float = 0.0
-    stops: bool = False
+    # Time of the last fault of the daemon, its links or its store; time bounds are not checked around it.
+    last_fault_at: float = 0.0
+    is_stopping: bool = False
     started: float = 0.0
 
     @property
@@ -87,18 +87,18 @@
             self.process = await asyncio.create_subprocess_exec(
                 self.program, "--settings", self.write_settings(), stdout=log, stderr=log)
 
-    def send(self, number: signal.Signals) -> None:
+    def send_signal(self, signal_number: signal.Signals) -> None:
         if self.process and self.process.returncode is None:
-            # It may have ended, with its status on the way.
+            # The process may have exited before its status was collected.
             with contextlib.suppress(ProcessLookupError):
-                os.kill(self.process.pid, number)
+                os.kill(self.process.pid, signal_number)
 
-    async def end(self, number: signal.Signals) -> int:
-        """Sends the signal, kills after the grace, and returns the exit status."""
-        self.send(number)
+    async def stop(self, signal_number: signal.Signals) -> int:
+        """Sends the signal, kills the process after the grace period, and returns the exit status."""
+        self.send_signal(signal_number)
         try:
             return await asyncio.wait_for(self.process.wait(), GRACE_SECONDS + 1)
         except TimeoutError:
-            self.send(signal.SIGKILL)
+            self.send_signal(signal.SIGKILL)
             await self.process.wait()
             return -signal.SIGKILL
--- a/tools/soak/http1.py
+++ b/tools/soak/http1.py
@@ -1,16 +1,16 @@
-"""As much of HTTP/1.1 as the stand-ins need: heads, sized and chunked bodies, over asyncio streams."""
+"""Minimal HTTP/1.1 over asyncio streams for the emulated peers: heads, and bodies with a length or in chunks."""
 
 import asyncio
 from dataclasses import dataclass, field
 
 
 class Broken(Exception):
-    """The other side ended or sent what is no message."""
+    """The peer closed the connection or sent a malformed message."""
 
 
 @dataclass
 class Head:
-    """The first line and the headers; names in lower case."""
+    """Start line and headers of a message; header names are lower case."""
 
     line: str
     headers: dict[str, str] = field(default_factory=dict)
@@ -35,7 +35,7 @@
 
 
 async def chunks(reader: asyncio.StreamReader, head: Head):
-    """Yields the body as it comes; raises Broken when it ends early."""
+    """Yields the parts of the body as they are received; raises Broken if the body is truncated."""
     try:
         if head.headers.get("transfer-encoding") == "chunked":
             while size := int(await reader.readline() or b"x", 16):
--- a/tools/soak/links.py
+++ b/tools/soak/links.py
@@ -1,20 +1,20 @@
-"""A loopback proxy whose connections can be delayed, reset, cut one way or silenced."""
+"""A loopback proxy that can delay, reset or silently drop traffic, in one or both directions."""
 
 import asyncio
 import random
 
-OPEN, DELAYED, SILENT, CUT_THERE, CUT_BACK = "open", "delayed", "silent", "cut there", "cut back"
-HARMS = (DELAYED, SILENT, CUT_THERE, CUT_BACK)
+OPEN, DELAYED, DROPPING, CUT_UPSTREAM, CUT_DOWNSTREAM = "open", "delayed", "silent", "cut there", "cut back"
+FAULT_STATES = (DELAYED, DROPPING, CUT_UPSTREAM, CUT_DOWNSTREAM)
 DELAY_SECONDS = (0.02, 0.3)
 
 
 class Link:
-    """Passes what comes to `listen` on to `to`, as its state allows."""
+    """Forwards connections from `listen` to `to`, subject to the current link state."""
 
     def __init__(self, listen: tuple[str, int], to: tuple[str, int]) -> None:
         self.listen, self.to, self.state = listen, to, OPEN
         self.writers: set[asyncio.StreamWriter] = set()
-        self.last_harm = 0.0
+        self.last_fault_at = 0.0
 
     async def start(self) -> None:
         await asyncio.start_server(self.accept, *self.listen)
@@ -25,25 +25,25 @@
 
     async def accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
-            there_reader, there_writer = await asyncio.open_connection(*self.to)
+            upstream_reader, upstream_writer = await asyncio.open_connection(*self.to)
         except OSError:
             writer.transport.abort()
             return
-        self.writers |= {writer, there_writer}
-        ways = [asyncio.create_task(self.copy(reader, there_writer, CUT_THERE)),
-                asyncio.create_task(self.copy(there_reader, writer, CUT_BACK))]
-        await asyncio.wait(ways, return_when=asyncio.ALL_COMPLETED)
-        self.writers -= {writer, there_writer}
+        self.writers |= {writer, upstream_writer}
+        directions = [asyncio.create_task(self.copy(reader, upstream_writer, CUT_UPSTREAM)),
+                asyncio.create_task(self.copy(upstream_reader, writer, CUT_DOWNSTREAM))]
+        await asyncio.wait(directions, return_when=asyncio.ALL_COMPLETED)
+        self.writers -= {writer, upstream_writer}
 
     async def copy(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, cut: str) -> None:
-        swallowed = False
+        has_dropped = False
         try:
             while data := await reader.read(65536):
-                if self.state in (SILENT, cut):
-                    swallowed = True
+                if self.state in (DROPPING, cut):
+                    has_dropped = True
                     continue
-                if swallowed:
-                    # A network loses the rest of a connection, never a piece of its middle.
+                if has_dropped:
+                    # TCP never delivers bytes after a gap, so the connection is reset once bytes were dropped.
                     raise ConnectionResetError
                 if self.state == DELAYED:
                     await asyncio.sleep(random.uniform(*DELAY_SECONDS))
@@ -54,5 +54,5 @@
             await asyncio.sleep(0.05)
             writer.close()
         except (ConnectionError, OSError, RuntimeError):
-            # A reset passes on as one.
+            # A reset is forwarded as a reset.
             writer.transport.abort()
--- a/tools/soak/store.py
+++ b/tools/soak/store.py
@@ -1,6 +1,6 @@
-"""Stand-in of the platform's store: items with revisions, read and watched over HTTP.
+"""Emulated platform store: items with revisions that are read and watched over HTTP.
 
-Each daemon has an address of its own to reach it, so that a fault can hit one of them alone.
+Each daemon reaches the store through an address of its own, so that a fault can affect a single daemon.
 """
 
 import asyncio
@@ -19,9 +19,9 @@
         self.items: dict[str, dict] = {}
         self.events: list[dict] = []
         self.changed = asyncio.Condition()
-        # By the address that is asked.
+        # By listening address.
         self.states: dict[str, str] = {}
-        self.open: dict[str, set[asyncio.StreamWriter]] = {}
+        self.connections: dict[str, set[asyncio.StreamWriter]] = {}
 
     async def put(self, key: str, value: dict | None) -> None:
         async with self.changed:
@@ -38,17 +38,17 @@
 
     async def listen(self, address: str, port: int) -> None:
         self.states[address] = UP
-        self.open[address] = set()
+        self.connections[address] = set()
         await asyncio.start_server(lambda reader, writer: self.serve(address, reader, writer), address, port)
 
     def set_state(self, address: str, state: str) -> None:
         self.states[address] = state
         if state == REFUSES:
-            for writer in list(self.open[address]):
+            for writer in list(self.connections[address]):
                 writer.transport.abort()
 
     async def serve(self, address: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.open[address].add(writer)
+        self.connections[address].add(writer)
         try:
             while True:
                 head = await http1.read_head(reader)
@@ -63,13 +63,13 @@
         except (http1.Broken, ConnectionError):
             pass
         finally:
-            self.open[address].discard(writer)
+            self.connections[address].discard(writer)
             writer.close()
 
     async def answer(self, target: str) -> dict:
-        asked = urlsplit(target)
-        query = {name: values[0] for name, values in parse_qs(asked.query).items()}
-        if asked.path == "/-/kv-range":
+        url = urlsplit(target)
+        query = {name: values[0] for name, values in parse_qs(url.query).items()}
+        if url.path == "/-/kv-range":
             return {"Items": list(self.items.values()), "HasMore": False, "At": self.revision}
         after, wait = int(query["After"]), int(query["WaitMs"]) / 1000
         async with self.changed:
--- a/tools/soak/targets.py
+++ b/tools/soak/targets.py
@@ -1,4 +1,4 @@
-"""Stand-ins of targets: plain answers and streams of events, with a record of all that ran."""
+"""Emulated targets: they serve plain answers and event streams, and record each request that they run."""
 
 import asyncio
 import hashlib
@@ -13,10 +13,10 @@
 COLD_BOUND = int(COLD_PER_SECOND * COLD_OVERSHOOT + COLD_SLACK)
 PLAIN_SECONDS, GAP_SECONDS = 0.03, 0.015
 EVENTS = 30
-# What a failing target does with a request: rejects it as not run, answers with an error, or resets the connection.
+# Failure modes: rejects the request as not executed, answers with an error, or resets the connection.
 REJECTS, FAILS, RESETS = "rejects", "fails", "resets"
-# A request with such a body crashes each target that runs it.
-CRASHING = b"crash "
+# Body prefix of a request that crashes each target that runs it.
+CRASH_PREFIX = b"crash "
 
 
 def plain_body(request_id: str, body: bytes) -> bytes:
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True)
 class Run:
-    """A request that a target began to work on."""
+    """A request that a target started to execute."""
 
     request_id: str
     line: str
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True)
 class Arrival:
-    """A request that a target read, whether or not it ran it."""
+    """A request that a target received, whether or not it executed it."""
 
     request_id: str
     service: str
@@ -57,13 +57,13 @@
 
 
 class Target:
-    """One process of a service at an address; a restart gives it another id."""
+    """A process of a service at a fixed address; each restart changes its id."""
 
     def __init__(self, service: str, address: tuple[str, int], runs: list[Run], arrivals: list[Arrival]) -> None:
         self.service, self.address, self.runs, self.arrivals = service, address, runs, arrivals
-        # How it fails, and which part of its requests.
-        self.failure, self.failing_part, self.random = "", 0.0, random.Random(address[0])
-        self.life, self.busy, self.is_mute, self.is_up = 0, 0, False, False
+        # Failure mode, and the fraction of requests that it applies to.
+        self.failure, self.failure_probability, self.random = "", 0.0, random.Random(address[0])
+        self.incarnation, self.accepted, self.is_unresponsive, self.is_up = 0, 0, False, False
         self.cold_seconds = COLD_SECONDS
         self.zone, self.cold_until = "", 0.0
         self.slots = asyncio.Semaphore(SLOTS)
@@ -71,20 +71,20 @@
 
     @property
     def id(self) -> str:
-        return f"i-{self.address[0].replace('.', '-')}-{self.life}"
+        return f"i-{self.address[0].replace('.', '-')}-{self.incarnation}"
 
     async def listen(self) -> None:
         await asyncio.start_server(self.serve, *self.address)
 
     def start(self) -> None:
-        self.life += 1
-        self.slots, self.busy, self.is_up = asyncio.Semaphore(SLOTS), 0, True
-        self.turn_cold()
+        self.incarnation += 1
+        self.slots, self.accepted, self.is_up = asyncio.Semaphore(SLOTS), 0, True
+        self.restart_cold_period()
 
-    def turn_cold(self) -> None:
+    def restart_cold_period(self) -> None:
         self.cold_until = asyncio.get_running_loop().time() + self.cold_seconds
 
-    def cold_ms(self) -> int:
+    def remaining_cold_ms(self) -> int:
         return max(0, int((self.cold_until - asyncio.get_running_loop().time()) * 1000))
 
     def crash(self) -> None:
@@ -96,57 +96,57 @@
         if not self.is_up:
             writer.transport.abort()
             return
-        life = self.life
+        incarnation = self.incarnation
         self.writers.add(writer)
         try:
-            while life == self.life:
+            while incarnation == self.incarnation:
                 head = await http1.read_head(reader)
                 body = await http1.read_body(reader, head)
-                await self.answer(head, body, writer, life)
+                await self.answer(head, body, writer, incarnation)
         except (http1.Broken, ConnectionError):
             pass
         finally:
             self.writers.discard(writer)
             writer.close()
 
-    async def answer(self, head: http1.Head, body: bytes, writer: asyncio.StreamWriter, life: int) -> None:
+    async def answer(self, head: http1.Head, body: bytes, writer: asyncio.StreamWriter, incarnation: int) -> None:
         request_id = head.headers.get("request-id", "")
         self.arrivals.append(Arrival(request_id, self.service, asyncio.get_running_loop().time()))
         if head.headers.get("expected-instance", self.id) != self.id:
             writer.write(http1.message("HTTP/1.1 421 Other", {"Request-Id": request_id, "Instance-Id": self.id}))
             return
-        failure = self.failure if self.random.random() < self.failing_part else ""
+        failure = self.failure if self.random.random() < self.failure_probability else ""
         if failure == RESETS:
-            self.note_run(head, body, request_id)
+            self.record_run(head, body, request_id)
             writer.transport.abort()
             return
         if failure == FAILS:
-            self.note_run(head, body, request_id)
+            self.record_run(head, body, request_id)
             writer.write(http1.message("HTTP/1.1 500 Failed", {"Request-Id": request_id}))
             return
-        if failure == REJECTS or self.busy >= SLOTS + QUEUED:
+        if failure == REJECTS or self.accepted >= SLOTS + QUEUED:
             writer.write(http1.message("HTTP/1.1 503 Full", {"Request-Id": request_id, "Not-Executed": "1"}))
             return
-        self.busy += 1
+        self.accepted += 1
         try:
             async with self.slots:
-                if life == self.life and self.is_up and not writer.is_closing():
+                if incarnation == self.incarnation and self.is_up and not writer.is_closing():
                     await self.run(head, body, writer, request_id)
         finally:
-            if life == self.life:
-                self.busy -= 1
+            if incarnation == self.incarnation:
+                self.accepted -= 1
 
-    def note_run(self, head: http1.Head, body: bytes, request_id: str) -> None:
+    def record_run(self, head: http1.Head, body: bytes, request_id: str) -> None:
         self.runs.append(Run(request_id, head.line, body, self.service, self.id,
                              head.headers.get("tenant-name", ""), asyncio.get_running_loop().time(), self.zone,
-                             self.cold_ms() > 0))
+                             self.remaining_cold_ms() > 0))
 
     async def run(self, head: http1.Head, body: bytes, writer: asyncio.StreamWriter, request_id: str) -> None:
-        self.note_run(head, body, request_id)
-        if body.startswith(CRASHING):
+        self.record_run(head, body, request_id)
+        if body.startswith(CRASH_PREFIX):
             self.crash()
             return
-        while self.is_mute and self.is_up:
+        while self.is_unresponsive and self.is_up:
             await asyncio.sleep(0.05)
         headers = {"Request-Id": request_id, "Response-Signature": signature(request_id)}
         if "/s/" not in head.line:
--- a/tools/soak/test_links.py
+++ b/tools/soak/test_links.py
@@ -1,4 +1,4 @@
-"""The proxy harms connections as a network would."""
+"""Tests that the fault-injecting proxy behaves like a real network."""
 
 import pathlib
 import sys
@@ -9,7 +9,7 @@
 
 
 class ScriptedReader:
-    """Brings the link into a state before each piece of data."""
+    """Sets the link to a scripted state before each read."""
 
     def __init__(self, link: links.Link, script: list[tuple[str, bytes]]) -> None:
         self.link, self.script = link, script
@@ -34,13 +34,13 @@
 
 
 class LinkTest(unittest.IsolatedAsyncioTestCase):
-    async def test_a_connection_whose_middle_was_swallowed_does_not_go_on(self):
-        # The daemon must get a broken answer. Two harms of one link overlap: the first swallows bytes, the second
-        # only delays, and the connection went on without them, which no network does.
+    async def test_a_connection_with_dropped_bytes_is_aborted(self):
+        # Two faults of one link overlap: the first drops bytes, the second only delays. The connection must be
+        # aborted; forwarding later bytes without the dropped ones would emulate what no network does.
         link = links.Link(("127.0.0.1", 1), ("127.0.0.1", 2))
-        reader = ScriptedReader(link, [(links.OPEN, b"a"), (links.SILENT, b"b"), (links.OPEN, b"c")])
+        reader = ScriptedReader(link, [(links.OPEN, b"a"), (links.DROPPING, b"b"), (links.OPEN, b"c")])
         writer = RecordingWriter()
-        await link.copy(reader, writer, links.CUT_BACK)
+        await link.copy(reader, writer, links.CUT_DOWNSTREAM)
         self.assertEqual(writer.written, b"a")
         self.assertTrue(writer.aborted)
 
--- a/tools/soak/test_verdict.py
+++ b/tools/soak/test_verdict.py
@@ -1,4 +1,4 @@
-"""Each finding of the soak is shown to be found, and a clean record to have none."""
+"""Tests that each kind of finding is reported, and that a correct record yields none."""
 
 import pathlib
 import sys
@@ -13,104 +13,104 @@
 import targets
 import verdict
 
-SENT, REVOKED, LEFT = 10.0, 2.0, 2.0
+SENT_AT, REVOKED_AT, LEFT_AT = 10.0, 2.0, 2.0
 
 
-def request(kind: str, **changes) -> callers.Seen:
+def request(kind: str, **changes) -> callers.RequestRecord:
     path = callers.KINDS[kind]
-    seen = callers.Seen("id-" + kind, kind, f"POST {path}1 HTTP/1.1", b"body", "key-a", 1, SENT, status=200,
-                        signature=targets.signature("id-" + kind), whole=True, ended=SENT + 1)
-    seen.answer = callers.expected_answer(seen)
-    return replace(seen, **changes)
+    record = callers.RequestRecord("id-" + kind, kind, f"POST {path}1 HTTP/1.1", b"body", "key-a", 1, SENT_AT, status=200,
+                        signature=targets.signature("id-" + kind), complete=True, ended=SENT_AT + 1)
+    record.answer = callers.expected_answer(record)
+    return replace(record, **changes)
 
 
-def run_of(seen: callers.Seen, **changes) -> targets.Run:
-    service = verdict.SERVICES[seen.line.split(" ")[1][:3]]
-    return replace(targets.Run(seen.request_id, seen.line, seen.body, service, "t1", "customer", SENT), **changes)
+def run_of(record: callers.RequestRecord, **changes) -> targets.Run:
+    service = verdict.SERVICES[record.line.split(" ")[1][:3]]
+    return replace(targets.Run(record.request_id, record.line, record.body, service, "t1", "customer", SENT_AT), **changes)
 
 
-def findings(seen: list, runs: list, **changes) -> list[str]:
-    bench = SimpleNamespace(callers=SimpleNamespace(seen=seen), runs=runs, revoked={}, left={}, stops=[], evacuations=[], arrivals=[], started=0.0,
-                            harms=defaultdict(list), keys=["key-a"], calm_from=0.0)
-    vars(bench).update(changes)
-    return [line.split(" ")[0].rstrip(":") for line in verdict.findings(bench)]
+def findings(records: list, runs: list, **changes) -> list[str]:
+    fleet = SimpleNamespace(callers=SimpleNamespace(records=records), runs=runs, revoked={}, left_at={}, stops=[], evacuations=[], arrivals=[], started=0.0,
+                            fault_times=defaultdict(list), keys=["key-a"], recovered_at=0.0)
+    vars(fleet).update(changes)
+    return [line.split(" ")[0].rstrip(":") for line in verdict.findings(fleet)]
 
 
 class VerdictTest(unittest.TestCase):
-    def test_a_clean_record_has_no_finding(self):
-        seen = [request(kind) for kind in callers.KINDS]
-        self.assertEqual(findings(seen, [run_of(each) for each in seen]), [])
-
-    def test_what_nobody_sent_or_was_changed_is_found(self):
-        seen = request("unsafe")
-        self.assertEqual(findings([seen], [run_of(seen), run_of(seen, request_id="other")]), ["UNASKED"])
-        self.assertEqual(findings([seen], [run_of(seen, body=b"more")]), ["UNASKED"])
-        self.assertEqual(findings([seen], [run_of(seen, customer="someone")]), ["UNASKED"])
-        self.assertEqual(findings([seen], [run_of(seen, service="streams")]), ["ROUTE"])
-
-    def test_repeats_count_against_the_requests_for_their_service(self):
-        """Rejected sends count, a request's first arrival doesn't, and old ones leave the window."""
-        seen = [request("safe", request_id=f"r{number}", status=0, gave_up=True) for number in range(99)]
-        seen.append(request("safe"))
-        allowed = int(daemons.RETRY_RATIO * len(seen)) + daemons.RETRY_SLACK
-
-        def arrivals(repeats: int, service: str, request_id: str = "r1", at: float = SENT) -> list:
-            return [targets.Arrival(request_id, service, at)] * (repeats + 1)
-
-        self.assertEqual(findings(seen, [], arrivals=arrivals(allowed, "plain")), [])
-        self.assertEqual(findings(seen, [], arrivals=arrivals(allowed + 1, "plain")), ["BUDGET"])
-        self.assertEqual(findings(seen, [], arrivals=arrivals(daemons.RETRY_SLACK + 1, "streams")), ["BUDGET"])
-        apart = arrivals(allowed, "plain") + arrivals(allowed, "plain", "r2", SENT + daemons.RETRY_WINDOW)
-        self.assertEqual(findings(seen, [], arrivals=apart), [])
-
-    def test_a_second_run_counts_only_where_one_is_allowed(self):
+    def test_a_correct_record_has_no_finding(self):
+        records = [request(kind) for kind in callers.KINDS]
+        self.assertEqual(findings(records, [run_of(record) for record in records]), [])
+
+    def test_a_run_of_an_unknown_or_altered_request_is_found(self):
+        record = request("unsafe")
+        self.assertEqual(findings([record], [run_of(record), run_of(record, request_id="other")]), ["UNASKED"])
+        self.assertEqual(findings([record], [run_of(record, body=b"more")]), ["UNASKED"])
+        self.assertEqual(findings([record], [run_of(record, customer="someone")]), ["UNASKED"])
+        self.assertEqual(findings([record], [run_of(record, service="streams")]), ["ROUTE"])
+
+    def test_retries_count_against_the_budget_of_their_service(self):
+        """Rejected sends count, first arrivals don't, and old arrivals drop out of the window."""
+        records = [request("safe", request_id=f"r{number}", status=0, abandoned=True) for number in range(99)]
+        records.append(request("safe"))
+        allowed = int(daemons.RETRY_RATIO * len(records)) + daemons.RETRY_SLACK
+
+        def arrivals(retries: int, service: str, request_id: str = "r1", at: float = SENT_AT) -> list:
+            return [targets.Arrival(request_id, service, at)] * (retries + 1)
+
+        self.assertEqual(findings(records, [], arrivals=arrivals(allowed, "plain")), [])
+        self.assertEqual(findings(records, [], arrivals=arrivals(allowed + 1, "plain")), ["BUDGET"])
+        self.assertEqual(findings(records, [], arrivals=arrivals(daemons.RETRY_SLACK + 1, "streams")), ["BUDGET"])
+        apart = arrivals(allowed, "plain") + arrivals(allowed, "plain", "r2", SENT_AT + daemons.RETRY_WINDOW)
+        self.assertEqual(findings(records, [], arrivals=apart), [])
+
+    def test_a_second_run_is_found_only_for_requests_that_must_run_once(self):
         for kind, expected in (("unsafe", ["TWICE"]), ("single", ["TWICE"]), ("safe", []), ("resumable", [])):
-            seen = request(kind)
-            self.assertEqual(findings([seen], [run_of(seen), run_of(seen, target="t2")]), expected)
+            record = request(kind)
+            self.assertEqual(findings([record], [run_of(record), run_of(record, target="t2")]), expected)
 
-    def test_a_refusal_of_what_ran_is_found(self):
+    def test_a_refusal_of_an_executed_request_is_found(self):
         refused = request("unsafe", status=503, signature="", answer=b"")
-        self.assertEqual(findings([refused], [run_of(refused)], calm_from=99.0), ["REFUSED", "RECOVER"])
+        self.assertEqual(findings([refused], [run_of(refused)], recovered_at=99.0), ["REFUSED", "RECOVER"])
 
     def test_a_request_at_an_evacuated_target_is_found(self):
-        seen = request("safe")
-        run = run_of(seen, zone="z1")
-        self.assertEqual(findings([seen], [run], evacuations=[("z1", LEFT, SENT + 5)]), ["EVAC"])
-        self.assertEqual(findings([seen], [run], evacuations=[("z2", LEFT, SENT + 5)]), [])
-        self.assertEqual(findings([seen], [run], evacuations=[("z1", SENT - 1, SENT + 5)]), [])
-        self.assertEqual(findings([seen], [run], evacuations=[("z1", LEFT, SENT - 1)]), [])
-
-    def test_a_cold_target_that_gets_too_many_is_found(self):
-        seen = [request("safe", request_id=f"id-{number}") for number in range(targets.COLD_BOUND + 1)]
-        for each in seen:
-            each.signature = targets.signature(each.request_id)
-            each.answer = callers.expected_answer(each)
-        runs = [run_of(each, is_cold=True) for each in seen]
-        self.assertEqual(findings(seen, runs), ["FAILBACK"])
-        self.assertEqual(findings(seen[1:], runs[1:]), [])
-        self.assertEqual(findings(seen, [replace(run, is_cold=False) for run in runs]), [])
+        record = request("safe")
+        run = run_of(record, zone="z1")
+        self.assertEqual(findings([record], [run], evacuations=[("z1", LEFT_AT, SENT_AT + 5)]), ["EVAC"])
+        self.assertEqual(findings([record], [run], evacuations=[("z2", LEFT_AT, SENT_AT + 5)]), [])
+        self.assertEqual(findings([record], [run], evacuations=[("z1", SENT_AT - 1, SENT_AT + 5)]), [])
+        self.assertEqual(findings([record], [run], evacuations=[("z1", LEFT_AT, SENT_AT - 1)]), [])
+
+    def test_an_overloaded_cold_target_is_found(self):
+        records = [request("safe", request_id=f"id-{number}") for number in range(targets.COLD_BOUND + 1)]
+        for record in records:
+            record.signature = targets.signature(record.request_id)
+            record.answer = callers.expected_answer(record)
+        runs = [run_of(record, is_cold=True) for record in records]
+        self.assertEqual(findings(records, runs), ["FAILBACK"])
+        self.assertEqual(findings(records[1:], runs[1:]), [])
+        self.assertEqual(findings(records, [replace(run, is_cold=False) for run in runs]), [])
 
     def test_a_wrong_answer_is_found(self):
-        seen = request("safe")
-        self.assertEqual(findings([replace(seen, answer=seen.answer[:-1] + b"!")], []), ["MIXED", "ORDER"])
-        self.assertEqual(findings([replace(seen, signature="x")], []), ["MIXED"])
+        record = request("safe")
+        self.assertEqual(findings([replace(record, answer=record.answer[:-1] + b"!")], []), ["MIXED", "ORDER"])
+        self.assertEqual(findings([replace(record, signature="x")], []), ["MIXED"])
         stream = request("resumable")
         self.assertEqual(findings([replace(stream, answer=stream.answer[:20])], []), ["MIXED"])
-        self.assertEqual(findings([seen, replace(stream, answer=stream.answer[:20], whole=False)], [],
-                                  calm_from=SENT + 1), ["RECOVER"])
-
-    def test_late_leavings_and_keys_count_at_calm_daemons_only(self):
-        seen = request("unsafe")
-        runs = [run_of(seen)]
-        self.assertEqual(findings([seen], runs, left={"t1": LEFT}), ["DRAIN"])
-        self.assertEqual(findings([seen], runs, revoked={"key-a": REVOKED}), ["CONFIG"])
-        harmed = defaultdict(list, {1: [SENT - 1]})
-        self.assertEqual(findings([seen], runs, left={"t1": LEFT}, revoked={"key-a": REVOKED}, harms=harmed), [])
-        self.assertEqual(findings([seen], runs, left={"t1": SENT - 1}), [])
-
-    def test_a_stop_without_success_is_found(self):
-        seen = request("safe")
-        self.assertEqual(findings([seen], [run_of(seen)], stops=[(1, 0), (2, -9)]), ["STOP"])
+        self.assertEqual(findings([record, replace(stream, answer=stream.answer[:20], complete=False)], [],
+                                  recovered_at=SENT_AT + 1), ["RECOVER"])
+
+    def test_drain_and_revocation_bounds_apply_only_without_faults(self):
+        record = request("unsafe")
+        runs = [run_of(record)]
+        self.assertEqual(findings([record], runs, left_at={"t1": LEFT_AT}), ["DRAIN"])
+        self.assertEqual(findings([record], runs, revoked={"key-a": REVOKED_AT}), ["CONFIG"])
+        faulted = defaultdict(list, {1: [SENT_AT - 1]})
+        self.assertEqual(findings([record], runs, left_at={"t1": LEFT_AT}, revoked={"key-a": REVOKED_AT}, fault_times=faulted), [])
+        self.assertEqual(findings([record], runs, left_at={"t1": SENT_AT - 1}), [])
+
+    def test_a_failed_shutdown_is_found(self):
+        record = request("safe")
+        self.assertEqual(findings([record], [run_of(record)], stops=[(1, 0), (2, -9)]), ["STOP"])
 
 
 if __name__ == "__main__":
--- a/tools/soak/verdict.py
+++ b/tools/soak/verdict.py
@@ -1,4 +1,4 @@
-"""What callers and targets saw, held against the promises. Each finding is a line."""
+"""Checks the records of callers and targets against the guarantees of the service. Each finding is one line."""
 
 from bisect import bisect_right
 from collections import defaultdict
@@ -7,107 +7,107 @@
 import daemons
 import targets
 
-# A daemon counts only when nothing was done to it, its links or its store for so long.
-CALM_SECONDS = 4.0
-# The bound for a target's leaving and for a configuration, with a second for this machine's load.
+# Time bounds apply to a daemon only if no fault affected it, its links or its store for this long.
+UNDISTURBED_SECONDS = 4.0
+# Bounds for draining a target, applying a configuration and an evacuation; each includes one second for load on the machine.
 DRAIN_BOUND, APPLY_BOUND, EVACUATION_BOUND = 3.0, 3.0, 4.0
 SERVICES = {"/u/": "plain", "/i/": "plain", "/r/": "streams", "/n/": "streams"}
-NOT_RUN = (408, 421, 429, 503)
-SERVED_AT_END = 0.9
+NOT_EXECUTED = (408, 421, 429, 503)
+MIN_SERVED_AFTER_RECOVERY = 0.9
 
 
-def findings(bench) -> list[str]:
-    sent = {seen.request_id: seen for seen in bench.callers.seen}
+def findings(fleet) -> list[str]:
+    sent = {record.request_id: record for record in fleet.callers.records}
     runs = defaultdict(list)
     found = []
-    for run in bench.runs:
+    for run in fleet.runs:
         runs[run.request_id].append(run)
-        found += of_run(run, sent.get(run.request_id))
-    for seen in bench.callers.seen:
-        found += of_answer(seen, runs[seen.request_id])
-        found += of_key(seen, bench)
-    found += of_leaving(bench, sent)
-    found += of_evacuation(bench, sent)
-    found += of_cold(bench)
-    found += of_repeats(bench)
-    found += of_crashing(bench)
-    found += [f"STOP vm-{index} ended with {status}" for index, status in bench.stops if status != 0]
-    return found + of_recovery(bench)
-
-
-def of_run(run, seen) -> list[str]:
-    if not seen:
+        found += check_run(run, sent.get(run.request_id))
+    for record in fleet.callers.records:
+        found += check_answer(record, runs[record.request_id])
+        found += check_revoked_key(record, fleet)
+    found += check_drain(fleet, sent)
+    found += check_evacuation(fleet, sent)
+    found += check_cold_targets(fleet)
+    found += check_retry_budget(fleet)
+    found += check_crashing_requests(fleet)
+    found += [f"STOP vm-{index} ended with {status}" for index, status in fleet.stops if status != 0]
+    return found + check_recovery(fleet)
+
+
+def check_run(run, record) -> list[str]:
+    if not record:
         return [f"UNASKED {run.request_id}: ran at {run.target}, nobody sent it"]
     found = []
-    if (run.line, run.body) != (seen.line, seen.body):
+    if (run.line, run.body) != (record.line, record.body):
         found.append(f"UNASKED {run.request_id}: changed on the way to {run.target}: {run.line}")
-    if run.service != SERVICES[seen.line.split(" ")[1][:3]]:
+    if run.service != SERVICES[record.line.split(" ")[1][:3]]:
         found.append(f"ROUTE {run.request_id}: ran at {run.target} of {run.service}")
     if run.customer != "customer":
         found.append(f"UNASKED {run.request_id}: ran for '{run.customer}'")
     return found
 
 
-def of_answer(seen, runs) -> list[str]:
+def check_answer(record, runs) -> list[str]:
     found = []
-    if seen.kind in ("unsafe", "single") and len(runs) > 1:
-        found.append(f"TWICE {seen.request_id} ({seen.kind}): ran at {[run.target for run in runs]}")
-    if seen.status in NOT_RUN and runs and seen.kind in ("unsafe", "single"):
-        found.append(f"REFUSED {seen.request_id}: told {seen.status}, ran at {runs[0].target}")
-    if seen.status != 200:
-        if seen.status and seen.signature:
-            found.append(f"MIXED {seen.request_id}: status {seen.status} with a signature")
+    if record.kind in ("unsafe", "single") and len(runs) > 1:
+        found.append(f"TWICE {record.request_id} ({record.kind}): ran at {[run.target for run in runs]}")
+    if record.status in NOT_EXECUTED and runs and record.kind in ("unsafe", "single"):
+        found.append(f"REFUSED {record.request_id}: told {record.status}, ran at {runs[0].target}")
+    if record.status != 200:
+        if record.status and record.signature:
+            found.append(f"MIXED {record.request_id}: status {record.status} with a signature")
         return found
-    expected = callers.expected_answer(seen)
-    if seen.signature != targets.signature(seen.request_id):
-        found.append(f"MIXED {seen.request_id}: signature {seen.signature}")
-    if seen.whole and seen.answer != expected:
-        found.append(f"MIXED {seen.request_id} ({seen.kind}): a whole answer of {len(seen.answer)} bytes, "
+    expected = callers.expected_answer(record)
+    if record.signature != targets.signature(record.request_id):
+        found.append(f"MIXED {record.request_id}: signature {record.signature}")
+    if record.complete and record.answer != expected:
+        found.append(f"MIXED {record.request_id} ({record.kind}): a complete answer of {len(record.answer)} bytes, "
                      f"not {len(expected)}")
-    if not expected.startswith(seen.answer):
-        found.append(f"ORDER {seen.request_id} ({seen.kind}): not a beginning of the target's answer")
+    if not expected.startswith(record.answer):
+        found.append(f"ORDER {record.request_id} ({record.kind}): not a beginning of the target's answer")
     return found
 
 
-def is_calm(bench, seen, since: float) -> bool:
-    return all(not since - CALM_SECONDS <= harm <= seen.sent + 1 for harm in bench.harms[seen.daemon])
+def is_undisturbed(fleet, record, since: float) -> bool:
+    return all(not since - UNDISTURBED_SECONDS <= fault_time <= record.sent + 1 for fault_time in fleet.fault_times[record.daemon])
 
 
-def of_key(seen, bench) -> list[str]:
-    revoked = bench.revoked.get(seen.key)
-    if seen.status != 200 or revoked is None or seen.sent < revoked + APPLY_BOUND:
+def check_revoked_key(record, fleet) -> list[str]:
+    revoked = fleet.revoked.get(record.key)
+    if record.status != 200 or revoked is None or record.sent < revoked + APPLY_BOUND:
         return []
-    if not is_calm(bench, seen, revoked):
+    if not is_undisturbed(fleet, record, revoked):
         return []
-    return [f"CONFIG {seen.request_id}: served {seen.sent - revoked:.1f} s after its key was taken away"]
+    return [f"CONFIG {record.request_id}: served {record.sent - revoked:.1f} s after its key was taken away"]
 
 
-def of_leaving(bench, sent) -> list[str]:
+def check_drain(fleet, sent) -> list[str]:
     found = []
-    for run in bench.runs:
-        left = bench.left.get(run.target)
-        seen = sent.get(run.request_id)
-        if left is None or not seen or run.started < left + DRAIN_BOUND or not is_calm(bench, seen, left):
+    for run in fleet.runs:
+        left_at = fleet.left_at.get(run.target)
+        record = sent.get(run.request_id)
+        if left_at is None or not record or run.started < left_at + DRAIN_BOUND or not is_undisturbed(fleet, record, left_at):
             continue
-        found.append(f"DRAIN {run.request_id}: reached {run.target} {run.started - left:.1f} s after its leaving")
+        found.append(f"DRAIN {run.request_id}: reached {run.target} {run.started - left_at:.1f} s after its leaving")
     return found
 
 
-def of_evacuation(bench, sent) -> list[str]:
+def check_evacuation(fleet, sent) -> list[str]:
     found = []
-    for zone, began, ended in bench.evacuations:
-        for run in bench.runs:
-            seen = sent.get(run.request_id)
-            if not seen or run.zone != zone or not began + EVACUATION_BOUND < run.started < ended:
+    for zone, began, ended in fleet.evacuations:
+        for run in fleet.runs:
+            record = sent.get(run.request_id)
+            if not record or run.zone != zone or not began + EVACUATION_BOUND < run.started < ended:
                 continue
-            if is_calm(bench, seen, began):
+            if is_undisturbed(fleet, record, began):
                 found.append(f"EVAC {run.request_id}: reached {run.target} {run.started - began:.1f} s after")
     return found
 
 
-def of_cold(bench) -> list[str]:
+def check_cold_targets(fleet) -> list[str]:
     found, recent = [], defaultdict(list)
-    for run in bench.runs:
+    for run in fleet.runs:
         if not run.is_cold:
             continue
         recent[run.target] = [start for start in recent[run.target] if start > run.started - 1] + [run.started]
@@ -116,61 +116,61 @@
     return found
 
 
-def worst_repeats(bench) -> tuple[float, str]:
-    """The largest part of the retry budget that a service got in any window, and the words for it."""
-    worst = (0.0, "no repeats")
-    for service in sorted({arrival.service for arrival in bench.arrivals}):
-        sent = sorted(seen.sent for seen in bench.callers.seen if SERVICES[seen.line.split(" ")[1][:3]] == service)
-        repeats = repeats_at(bench, service)
-        for last, at in enumerate(repeats):
-            window = last + 1 - bisect_right(repeats, at - daemons.RETRY_WINDOW)
-            budget = daemons.RETRY_RATIO * most_sent(sent, at) + daemons.RETRY_SLACK
-            worst = max(worst, (window / budget, f"{service} got {window} repeats of {budget:.0f} by "
-                                                 f"{at - bench.started:.1f} s"))
+def worst_retry_usage(fleet) -> tuple[float, str]:
+    """Highest use of the retry budget by a service in any window, as a fraction, and its description."""
+    worst = (0.0, "no retries")
+    for service in sorted({arrival.service for arrival in fleet.arrivals}):
+        sent = sorted(record.sent for record in fleet.callers.records if SERVICES[record.line.split(" ")[1][:3]] == service)
+        retries = retry_times(fleet, service)
+        for last, at in enumerate(retries):
+            window = last + 1 - bisect_right(retries, at - daemons.RETRY_WINDOW)
+            budget = daemons.RETRY_RATIO * peak_request_count(sent, at) + daemons.RETRY_SLACK
+            worst = max(worst, (window / budget, f"{service} got {window} retries of {budget:.0f} by "
+                                                 f"{at - fleet.started:.1f} s"))
     return worst
 
 
-def repeats_at(bench, service: str) -> list[float]:
-    known, repeats = set(), []
-    for arrival in bench.arrivals:
+def retry_times(fleet, service: str) -> list[float]:
+    seen_ids, retries = set(), []
+    for arrival in fleet.arrivals:
         if arrival.service != service:
             continue
-        if arrival.request_id in known:
-            repeats.append(arrival.at)
-        known.add(arrival.request_id)
-    return repeats
+        if arrival.request_id in seen_ids:
+            retries.append(arrival.at)
+        seen_ids.add(arrival.request_id)
+    return retries
 
 
-def most_sent(sent: list[float], until: float) -> int:
-    """In the window that ends then, the one before it, or the one half a window before it."""
-    ends = [until - part * daemons.RETRY_WINDOW for part in (0, 0.5, 1)]
+def peak_request_count(sent: list[float], until: float) -> int:
+    """Highest request count of three windows: ending at `until`, half a window earlier and one window earlier."""
+    ends = [until - fraction * daemons.RETRY_WINDOW for fraction in (0, 0.5, 1)]
     return max(bisect_right(sent, end) - bisect_right(sent, end - daemons.RETRY_WINDOW) for end in ends)
 
 
-def of_repeats(bench) -> list[str]:
-    part, words = worst_repeats(bench)
-    return [f"BUDGET: {words}"] if part > 1 else []
+def check_retry_budget(fleet) -> list[str]:
+    fraction, description = worst_retry_usage(fleet)
+    return [f"BUDGET: {description}"] if fraction > 1 else []
 
 
-def of_crashing(bench) -> list[str]:
-    """Requests that crash their targets, by body: how many reach one long after the third crash."""
+def check_crashing_requests(fleet) -> list[str]:
+    """Counts, by body, arrivals of crashing requests long after their third crash."""
     crashes, late = defaultdict(list), defaultdict(int)
-    bodies = {seen.request_id: seen.body for seen in bench.callers.seen if seen.body.startswith(targets.CRASHING)}
-    for run in bench.runs:
-        if run.body.startswith(targets.CRASHING):
+    bodies = {record.request_id: record.body for record in fleet.callers.records if record.body.startswith(targets.CRASH_PREFIX)}
+    for run in fleet.runs:
+        if run.body.startswith(targets.CRASH_PREFIX):
             crashes[run.body].append(run.started)
-    for arrival in bench.arrivals:
+    for arrival in fleet.arrivals:
         body = bodies.get(arrival.request_id)
-        if body and len(crashes[body]) >= 3 and arrival.at > crashes[body][2] + CALM_SECONDS:
+        if body and len(crashes[body]) >= 3 and arrival.at > crashes[body][2] + UNDISTURBED_SECONDS:
             late[body] += 1
     return [f"BUDGET: a request that crashes targets reached {count} long after its third crash"
             for count in late.values() if count > 3]
 
 
-def of_recovery(bench) -> list[str]:
-    last = [seen for seen in bench.callers.seen if seen.sent > bench.calm_from and not seen.gave_up
-            and seen.key in bench.keys and seen.ended]
-    served = sum(seen.status == 200 and seen.whole for seen in last)
-    if last and served >= SERVED_AT_END * len(last):
+def check_recovery(fleet) -> list[str]:
+    last = [record for record in fleet.callers.records if record.sent > fleet.recovered_at and not record.abandoned
+            and record.key in fleet.keys and record.ended]
+    served = sum(record.status == 200 and record.complete for record in last)
+    if last and served >= MIN_SERVED_AFTER_RECOVERY * len(last):
         return []
     return [f"RECOVER: {served} of {len(last)} served after all faults had ended"]
