--- a/packages/model/apricothook/model/apricothook_decision_event.hpp
+++ b/packages/model/apricothook/model/apricothook_decision_event.hpp
@@ -8,8 +8,8 @@
 namespace Apricothook {
 
 /**
- * One decision worth a line in the log: a number of the catalogue in docs/EVENTS.md, the request it
- * is about (if any) and its details as "name=value" words.
+ * A decision that is logged: its event number (see docs/EVENTS.md), the request it concerns, if
+ * any, and details as "name=value" pairs.
  */
 struct DecisionEvent
 {
@@ -18,7 +18,7 @@
     std::string details;
 };
 
-/** Where the decision core tells what it decided. */
+/** Receives the events that the decision core records. */
 class EventSink
 {
 public:
--- a/packages/model/apricothook/model/apricothook_endpoint.hpp
+++ b/packages/model/apricothook/model/apricothook_endpoint.hpp
@@ -8,7 +8,7 @@
 
 namespace Apricothook {
 
-/** An IP address in numbers and a port. */
+/** A numeric IP address and a port. */
 struct Endpoint
 {
     std::string address;
@@ -18,7 +18,7 @@
     auto operator<=>(const Endpoint &) const = default;
 };
 
-/** Reads "IPv4:port" or "[IPv6]:port"; nothing for host names, port 0 or anything else. */
+/** Parses "IPv4:port" or "[IPv6]:port". Host names, port 0 and any other text give nullopt. */
 std::optional<Endpoint> parseEndpoint(std::string_view text);
 
 } // namespace Apricothook
--- a/packages/model/apricothook/model/apricothook_fleet_text.hpp
+++ b/packages/model/apricothook/model/apricothook_fleet_text.hpp
@@ -19,7 +19,7 @@
     auto operator<=>(const DataCentre &) const = default;
 };
 
-/** A daemon of the roster. The roster decides the homes of keys without a ticket. */
+/** A daemon of the roster, which determines the homes of keys without a ticket. */
 struct RosterEntry
 {
     MemberId id;
@@ -32,21 +32,21 @@
     ModelId id;
     std::vector<std::string> adapters;
     std::string version;
-    /** Size in the weight store. */
+    /** Size of the weights in the weight store. */
     std::uint64_t weightBytes = 0;
     auto operator<=>(const Model &) const = default;
 };
 
 enum class ServiceKind {
-    Engine, ///< Speaks the engine protocol of docs/ENGINE-PROTOCOL.md.
-    Plain,  ///< Any HTTP service.
+    Engine, ///< Implements the engine protocol of docs/ENGINE-PROTOCOL.md.
+    Plain,  ///< Any other HTTP service.
 };
 
 struct Service
 {
     ServiceId id;
     ServiceKind kind = ServiceKind::Plain;
-    /** Services that must have a live target for this one to be of use. */
+    /** Services without which this one can't serve; each needs a live target. */
     std::vector<ServiceId> dependsOn;
     auto operator<=>(const Service &) const = default;
 };
@@ -61,16 +61,16 @@
     VmId vm;
     DataCentreId dataCentre;
     std::string hardwareGeneration;
-    /** Requests that the target works on at the same time. */
+    /** Requests that the target processes concurrently. */
     std::uint32_t slots = 1;
-    /** Key-value cache in tokens; 0 for plain services. */
+    /** Capacity of the KV cache in tokens; 0 for plain services. */
     std::uint64_t kvTokens = 0;
-    /** Speed hints until speeds are learned, in tokens per second; 0 for plain services. */
+    /** Initial estimates in tokens per second, used until measured; 0 for plain services. */
     double prefillRate = 0;
     double decodeRate = 0;
     std::vector<ModelId> models;
     EngineRole role = EngineRole::Serve;
-    /** Whether the target refuses orders from strangers, and orders with an old fencing number. */
+    /** Whether the target rejects orders of unknown senders, and stale fencing tokens. */
     bool checksSender = false;
     bool checksFencing = false;
     auto operator<=>(const Target &) const = default;
@@ -79,21 +79,21 @@
 struct Customer
 {
     CustomerId id;
-    /** SHA-256 of each bearer token, in lower-case hex. */
+    /** SHA-256 of each bearer token in lower-case hex. */
     std::vector<std::string> keyHashes;
-    /** Over the whole fleet. */
+    /** Limit over the whole fleet. */
     double requestsPerSecond = 0;
     std::uint32_t burst = 0;
-    /** Share of a tier against other customers. */
+    /** Weight for sharing a tier with other customers. */
     std::uint32_t weight = 1;
     RegionId homeRegion;
     auto operator<=>(const Customer &) const = default;
 };
 
 enum class Repeatability {
-    Idempotent,    ///< Running twice does no harm.
-    Deduplicated,  ///< The target itself runs a key only once.
-    NotRepeatable, ///< Running twice does harm.
+    Idempotent,    ///< May be run more than once.
+    Deduplicated,  ///< The target runs each key at most once.
+    NotRepeatable, ///< Must not be run more than once.
 };
 
 struct RequestClass
@@ -102,31 +102,31 @@
     Tier tier;
     Duration patience {};
     Repeatability repeatability = Repeatability::NotRepeatable;
-    /** Expected answer in tokens until it is learned. */
+    /** Initial estimate of the answer's length in tokens. */
     std::uint32_t expectedTokens = 256;
     auto operator<=>(const RequestClass &) const = default;
 };
 
-/** Numbers that operators may set; the defaults suit today's sites. */
+/** Limits and intervals that operators may configure. */
 struct Policy
 {
-    /** How long a key is remembered; resends after it are new requests. */
+    /** Time for which a key is remembered; a resend after it counts as a new request. */
     Duration deduplicationWindow = std::chrono::seconds(600);
-    /** How long callers keep the lookup's answer. */
+    /** Time for which callers may cache a lookup's answer. */
     Duration lookupKeep = std::chrono::seconds(10);
     std::uint64_t maximumBodyBytes = 8ULL << 20;
     std::uint32_t maximumConnections = 12000;
-    /** Bytes of finished answers that a daemon keeps for resends. */
+    /** Maximum total size of finished answers that a daemon keeps for resends. */
     std::uint64_t keptAnswerBytes = 64ULL << 20;
-    /** Keys that a home keeps. */
+    /** Maximum number of keys at a home. */
     std::uint32_t keptKeys = 200000;
     std::uint64_t weightStoreBytesPerSecond = 500ULL << 20;
-    /** Targets per shard; one steward keeps a shard's ledger. */
+    /** Number of targets per shard. A shard's ledger is kept by one steward. */
     std::uint32_t shardTargets = 8;
     auto operator<=>(const Policy &) const = default;
 };
 
-/** The operators' text, checked whole: every reference in it is good. Immutable once in force. */
+/** The validated fleet text: all references in it resolve. Immutable once applied. */
 struct FleetText
 {
     Policy policy;
@@ -140,7 +140,7 @@
     auto operator<=>(const FleetText &) const = default;
 };
 
-/** A fleet text together with the platform's revision that it came with. */
+/** A fleet text and its revision on the platform. */
 struct Configuration
 {
     Generation generation;
--- a/packages/model/apricothook/model/apricothook_identifiers.hpp
+++ b/packages/model/apricothook/model/apricothook_identifiers.hpp
@@ -8,7 +8,7 @@
 
 namespace Apricothook {
 
-/** An immutable name of one kind of thing; kinds don't mix. */
+/** Strongly typed, immutable string. Names of different kinds are distinct types. */
 template <typename Kind>
 class Name
 {
@@ -23,7 +23,7 @@
     std::string m_text;
 };
 
-/** An immutable number of one kind of thing; kinds don't mix. */
+/** Strongly typed, immutable number. Numbers of different kinds are distinct types. */
 template <typename Kind>
 class Number
 {
@@ -37,9 +37,9 @@
     std::uint64_t m_value = 0;
 };
 
-/** The name of a daemon in the roster; a replaced VM takes the name over. */
+/** Name of a daemon in the roster. The replacement of a VM inherits its name. */
 using MemberId = Name<struct MemberIdKind>;
-/** The life of one daemon process: drawn at start, larger than any earlier one of that member. */
+/** Identifies a daemon process: chosen at start, larger than all earlier ones of its member. */
 using Incarnation = Number<struct IncarnationKind>;
 using TargetId = Name<struct TargetIdKind>;
 using VmId = Name<struct VmIdKind>;
@@ -49,20 +49,20 @@
 using ModelId = Name<struct ModelIdKind>;
 using CustomerId = Name<struct CustomerIdKind>;
 using ClassId = Name<struct ClassIdKind>;
-/** The idempotency key of a request; at most MaximumKeyBytes bytes. */
+/** Idempotency key of a request; at most MaximumKeyBytes bytes. */
 using RequestKey = Name<struct RequestKeyKind>;
-/** The platform's revision of the fleet text; orders configurations. */
+/** Revision of the fleet text on the platform; defines the order of configurations. */
 using Generation = Number<struct GenerationKind>;
-/** The hash of a prompt up to the end of one block; see docs/ENGINE-PROTOCOL.md. */
+/** Hash of a prompt up to the end of a block; see docs/ENGINE-PROTOCOL.md. */
 using PrefixHash = Number<struct PrefixHashKind>;
-/** The hash of customer, service, path and body; recognises a request that is sent again. */
+/** Hash of customer, service, path and body; identifies resends of a request. */
 using Fingerprint = Number<struct FingerprintKind>;
-/** One HTTP exchange with a caller, numbered by the entry daemon; never reused in a process. */
+/** Number of an HTTP exchange with a caller; unique within the process of the entry daemon. */
 using ExchangeId = Number<struct ExchangeIdKind>;
 
 constexpr std::size_t MaximumKeyBytes = 256;
 
-/** Rank of a request: 1 is the most important. */
+/** Priority class of a request; rank 1 is the most important. */
 class Tier
 {
 public:
@@ -78,7 +78,7 @@
 
 constexpr std::uint8_t LowestTierRank = 9;
 
-/** A daemon process: its member and the life it is in. */
+/** A daemon process: a member and its incarnation. */
 struct MemberInstance
 {
     MemberId member;
--- a/packages/model/apricothook/model/apricothook_member_view.hpp
+++ b/packages/model/apricothook/model/apricothook_member_view.hpp
@@ -7,20 +7,20 @@
 
 namespace Apricothook {
 
-/** The members as this daemon sees them now; views of two daemons may differ. */
+/** This daemon's current view of the members; views of different daemons may differ. */
 class MemberView
 {
 public:
     virtual ~MemberView() = default;
     virtual const MemberInstance &self() const = 0;
-    /** Alive and leaving members and this daemon, ordered by member. Suspects count as alive. */
+    /** Alive and leaving members including this daemon, ordered by id. Suspects count as alive. */
     virtual const std::vector<MemberUpdate> &live() const = 0;
     virtual std::optional<MemberUpdate> find(const MemberId &member) const = 0;
-    /** Grows whenever live() changes; lets derived tables be rebuilt only then. */
+    /** Incremented when live() changes, so that derived tables are rebuilt only then. */
     virtual std::uint64_t version() const = 0;
     /**
-     * Share of the fleet on this side, in (0, 1]: below 1 only where so many members were lost at
-     * once, without leaving, that a network partition is likelier than that many deaths.
+     * Fraction of the fleet on this side of a network partition, in (0, 1]. Below 1 only if so many
+     * members disappeared at once, without leaving, that a partition is the likely cause.
      */
     virtual double visibleShare() const = 0;
 };
--- a/packages/model/apricothook/model/apricothook_peer_message.hpp
+++ b/packages/model/apricothook/model/apricothook_peer_message.hpp
@@ -11,11 +11,11 @@
 #include <variant>
 #include <vector>
 
-// Messages between daemons. Every message may be lost, doubled, late or out of order: whoever sends
-// one that matters sends it again until the reply comes, and whoever receives one is idempotent.
+// Messages between daemons. Messages may be lost, duplicated, delayed or reordered. Senders resend
+// messages that need a reply until it is received; receivers process all messages idempotently.
 //
-// Each struct has `fields(archive, self)`: it names the fields in wire order for the codec in
-// packages/peers. A field is only ever appended, so that two versions understand each other.
+// `fields(archive, self)` of each struct lists its fields in wire order for the codec in
+// packages/peers. New fields must be appended, so that different versions stay compatible.
 
 namespace Apricothook {
 
@@ -23,18 +23,18 @@
 
 enum class MemberState : std::uint8_t { Alive, Leaving, Suspect, Dead };
 
-/** One member as somebody knows it; a larger incarnation, then a larger state, replaces it. */
+/** A member as known to the sender; a larger incarnation, then a larger state, supersedes it. */
 struct MemberUpdate
 {
     MemberInstance instance;
     MemberState state = MemberState::Alive;
-    /** Raised by the member itself to refute a suspicion within the same life. */
+    /** Incremented by the member to refute a suspicion of its current incarnation. */
     std::uint64_t refutation = 0;
     Endpoint peerAddress;
     Endpoint callerAddress;
     DataCentreId dataCentre;
     RegionId region;
-    /** Exchanges in progress, for the spread of lookups. */
+    /** Number of exchanges in progress, for balancing lookups. */
     std::uint32_t load = 0;
     template <typename A, typename S>
     static void fields(A &a, S &s)
@@ -45,7 +45,7 @@
     auto operator<=>(const MemberUpdate &) const = default;
 };
 
-/** What a daemon has in force; rides on every probe so that news spreads without more messages. */
+/** Revisions that a daemon has applied; piggybacked on every probe to disseminate changes. */
 struct StateDigest
 {
     Generation generation;
@@ -62,7 +62,7 @@
 struct Probe
 {
     std::uint64_t sequence = 0;
-    /** The member that is meant; another life answers with its own update. */
+    /** The probed member; a different incarnation of it answers with its own update. */
     MemberId subject;
     StateDigest digest;
     std::vector<MemberUpdate> updates;
@@ -88,7 +88,7 @@
     auto operator<=>(const ProbeReply &) const = default;
 };
 
-/** Asks another member to probe the subject, because the direct way may be cut. */
+/** Asks another member to probe the subject, in case only the direct path fails. */
 struct IndirectProbe
 {
     std::uint64_t sequence = 0;
@@ -101,7 +101,7 @@
     auto operator<=>(const IndirectProbe &) const = default;
 };
 
-/** Asks for, or brings, a part of the member list; used to join and to mend after a split. */
+/** Requests a part of the member list, to join and to merge after a partition. */
 struct MemberListRequest
 {
     MemberUpdate self;
@@ -130,7 +130,7 @@
 
 // ---- Configuration ----------------------------------------------------------------------------
 
-/** Leaving VMs as the platform lists them. */
+/** The platform's list of leaving VMs. */
 struct VmList
 {
     std::uint64_t revision = 0;
@@ -154,7 +154,7 @@
     auto operator<=>(const VmListRequest &) const = default;
 };
 
-/** Asks which generation the receiver has in force; a starting daemon asks before it serves. */
+/** Asks which generation the receiver has applied. Sent by a starting daemon before it serves. */
 struct DigestRequest
 {
     std::uint64_t sequence = 0;
@@ -180,7 +180,7 @@
 
 // ---- Homes ------------------------------------------------------------------------------------
 
-/** Names one attempt of one exchange; the same in every resend of its messages. */
+/** Identifies an attempt of an exchange; equal in all resends of its messages. */
 struct AttemptId
 {
     MemberInstance entry;
@@ -194,7 +194,7 @@
     auto operator<=>(const AttemptId &) const = default;
 };
 
-/** Asks a key's home for the one grant to dispatch. */
+/** Requests the single grant to dispatch a key from the key's home. */
 struct GrantRequest
 {
     AttemptId attempt;
@@ -203,9 +203,9 @@
     Fingerprint fingerprint;
     TargetId target;
     Generation generation;
-    /** True when this entry proved that its attempt before this one did not run. */
+    /** Whether this entry has proof that its previous attempt did not run. */
     bool closesPrevious = false;
-    /** The other homes whose grant this attempt needs too; empty outside a change of roster. */
+    /** Further homes whose grant the attempt needs; empty unless the roster is changing. */
     std::vector<MemberId> otherHomes {};
     template <typename A, typename S>
     static void fields(A &a, S &s)
@@ -218,12 +218,12 @@
 
 enum class GrantVerdict : std::uint8_t {
     Granted,
-    Running,        ///< Granted before; `holder` has the answer when it comes.
-    Finished,       ///< Ran to its end; `holder` keeps the answer for a while.
-    OutcomeUnknown, ///< Granted before, and its holder is gone or lost it.
-    Conflict,       ///< The key was used with another fingerprint or customer.
-    WrongHome,      ///< The receiver isn't the home in the generation that it has in force.
-    LostMemory,     ///< The key may be older than this home's life.
+    Running,        ///< Granted before; `holder` will have the answer.
+    Finished,       ///< Completed; `holder` keeps the answer for a limited time.
+    OutcomeUnknown, ///< Granted before; its holder is gone or has lost the outcome.
+    Conflict,       ///< The key was used with a different fingerprint or customer.
+    WrongHome,      ///< The receiver isn't the home in the generation that it has applied.
+    LostMemory,     ///< The key may be older than the current process of this home.
     Full,
 };
 
@@ -234,9 +234,9 @@
     GrantVerdict verdict = GrantVerdict::Granted;
     MemberInstance holder;
     Generation generation;
-    /** Where the granted attempt went, so that its stream can be resumed if the holder is gone. */
+    /** Target of the granted attempt, for resuming its stream if the holder is gone. */
     TargetId target;
-    /** With WrongHome: the homes as the receiver knows them, all of which must be asked. */
+    /** With WrongHome: the homes in the receiver's view, all of which must be asked. */
     std::vector<MemberId> homes {};
     template <typename A, typename S>
     static void fields(A &a, S &s)
@@ -248,12 +248,12 @@
 };
 
 enum class KeyEnd : std::uint8_t {
-    Answered, ///< The whole answer was received from the target.
-    NotRun,   ///< Proved not to have run; the home may grant the key again.
+    Answered, ///< The complete answer was received from the target.
+    NotRun,   ///< Proven not to have run; the home may grant the key again.
     Unknown,
 };
 
-/** Tells a home how a granted attempt ended. */
+/** Reports the outcome of a granted attempt to the home. */
 struct OutcomeReport
 {
     AttemptId attempt;
@@ -279,13 +279,13 @@
     auto operator<=>(const OutcomeAcknowledged &) const = default;
 };
 
-/** Asks a home what it knows of a key, without asking for a grant. */
+/** Queries a key's state at its home without requesting a grant. */
 struct KeyQuery
 {
     std::uint64_t sequence = 0;
     RequestKey key;
     CustomerId customer;
-    /** Of the request that asks; 0 where only the key is known. */
+    /** Fingerprint of the asking request; 0 if only the key is known. */
     Fingerprint fingerprint;
     template <typename A, typename S>
     static void fields(A &a, S &s)
@@ -302,7 +302,7 @@
     NotRun,
     Unknown,
     LostMemory,
-    Conflict, ///< The key was used with another fingerprint.
+    Conflict, ///< The key was used with a different fingerprint.
 };
 
 struct KeyQueryReply
@@ -311,7 +311,7 @@
     RequestKey key;
     KeyState state = KeyState::NotSeen;
     MemberInstance holder;
-    /** Where the stream of a run may be resumed whose holder died; empty otherwise. */
+    /** Target from which the stream can be resumed if its holder has died; else empty. */
     TargetId target;
     template <typename A, typename S>
     static void fields(A &a, S &s)
@@ -323,7 +323,7 @@
 
 // ---- Stewards ---------------------------------------------------------------------------------
 
-/** A shard: some targets of one service in one region, whose ledger one daemon keeps. */
+/** A shard: a subset of a service's targets in a region, whose ledger one daemon keeps. */
 struct ShardId
 {
     ServiceId service;
@@ -337,7 +337,7 @@
     auto operator<=>(const ShardId &) const = default;
 };
 
-/** Asks a steward for room on one of its targets; waits there in the queue until it is answered. */
+/** Requests a slot on a target of a steward's shard; queued there until it is answered. */
 struct ReserveRequest
 {
     AttemptId attempt;
@@ -347,13 +347,13 @@
     ModelId model;
     std::uint32_t promptTokens = 0;
     std::uint32_t outputTokens = 0;
-    /** Patience left when the message was sent. */
+    /** Remaining patience when the message was sent. */
     Duration patienceLeft {};
-    /** Hashes of the prompt's blocks from its start; at most MaximumPrefixes. */
+    /** Hashes of the prompt's leading blocks; at most MaximumPrefixes. */
     std::vector<PrefixHash> prefixes;
-    /** Targets that must not be used, such as those that this request crashed. */
+    /** Targets that must not be used, such as those that the request has crashed. */
     std::vector<TargetId> excluded;
-    /** True when no other shard is left to turn to: the steward may shed only then. */
+    /** Whether no other shard is left to try. The steward may shed the request only then. */
     bool isLastResort = false;
     template <typename A, typename S>
     static void fields(A &a, S &s)
@@ -368,13 +368,13 @@
 
 enum class ReserveVerdict : std::uint8_t {
     Reserved,
-    Queued,           ///< Waits at the steward; a later reply follows.
-    Shed,             ///< Refused under the shedding rule; lower tiers are shut.
-    Elsewhere,        ///< Full here; another shard may have room.
-    PatienceTooShort, ///< Can't finish in time on any target of the shard, even when idle.
+    Queued,           ///< Queued at the steward; a further reply follows.
+    Shed,             ///< Refused by the shedding rule; lower tiers are closed.
+    Elsewhere,        ///< This shard is full; another one may have capacity.
+    PatienceTooShort, ///< Can't finish in time on any target of the shard, even an idle one.
     NoTarget,
-    NotSteward, ///< The receiver doesn't hold this shard as it sees the members.
-    /** Waited until no target could finish in time any more; lower tiers may still be served. */
+    NotSteward, ///< The receiver isn't the steward of this shard in its member view.
+    /** Queued until no target could finish in time; lower tiers may still be served. */
     PatienceOver,
 };
 
@@ -384,14 +384,14 @@
     ShardId shard;
     ReserveVerdict verdict = ReserveVerdict::Reserved;
     TargetId target;
-    /** The reservation lapses this long after the reply was sent unless it is renewed. */
+    /** Lease of the reservation, from the sending of the reply; it expires unless renewed. */
     Duration lease {};
-    /** Predicted time until the first token, and until the end. */
+    /** Predicted times until the first token and until the end of the answer. */
     Duration predictedFirstToken {};
     Duration predictedEnd {};
-    /** When to come back, for refusals. */
+    /** Delay before a retry, for refusals. */
     Duration retryAfter {};
-    /** Prompt tokens believed to be cached at the target. */
+    /** Estimated prompt tokens in the target's cache. */
     std::uint32_t cachedTokens = 0;
     template <typename A, typename S>
     static void fields(A &a, S &s)
@@ -402,7 +402,7 @@
     auto operator<=>(const ReserveReply &) const = default;
 };
 
-/** Takes back a request that still waits, or a reservation that wasn't used. */
+/** Cancels a queued request or an unused reservation. */
 struct ReserveCancel
 {
     AttemptId attempt;
@@ -417,14 +417,14 @@
 
 enum class RunEnd : std::uint8_t {
     Answered,
-    Refused, ///< The target proved that it did not run.
+    Refused, ///< The target reported that the request did not run.
     ConnectFailed,
-    Crashed, ///< The connection broke before the answer was whole.
+    Crashed, ///< The connection broke before the answer was complete.
     Cancelled,
     TimedOut,
 };
 
-/** Ends a reservation and teaches the steward how the target did. */
+/** Ends a reservation and reports the target's performance to the steward. */
 struct Release
 {
     AttemptId attempt;
@@ -434,9 +434,9 @@
     std::uint32_t promptTokens = 0;
     std::uint32_t cachedTokens = 0;
     std::uint32_t outputTokens = 0;
-    /** From the request's last byte sent until the first byte of the answer. */
+    /** From the last byte sent of the request to the first byte of the answer. */
     Duration firstByte {};
-    /** From the first byte until the last one. */
+    /** From the first byte of the answer to the last one. */
     Duration streaming {};
     template <typename A, typename S>
     static void fields(A &a, S &s)
@@ -447,7 +447,7 @@
     auto operator<=>(const Release &) const = default;
 };
 
-/** One running request, as its entry reports it. */
+/** A running request as reported by its entry. */
 struct InFlight
 {
     AttemptId attempt;
@@ -468,7 +468,7 @@
     auto operator<=>(const InFlight &) const = default;
 };
 
-/** What an entry has running on a shard: renews the reservations, and fills a new ledger. */
+/** An entry's running requests on a shard. Renews reservations and rebuilds a new ledger. */
 struct InFlightReport
 {
     MemberInstance entry;
@@ -482,13 +482,13 @@
     auto operator<=>(const InFlightReport &) const = default;
 };
 
-/** Summary of a shard, for the choice between shards; rides to whoever asked the steward lately. */
+/** Load of a shard, for choosing between shards. Sent to entries that recently used it. */
 struct ShardSummary
 {
     ShardId shard;
     std::uint32_t freeSlots = 0;
     std::uint32_t queued = 0;
-    /** Predicted wait for a new request of the lowest tier. */
+    /** Predicted queueing time of a new request of the lowest tier. */
     Duration wait {};
     Tier floor {LowestTierRank};
     template <typename A, typename S>
@@ -501,15 +501,15 @@
 
 // ---- Floors -----------------------------------------------------------------------------------
 
-/** Shuts the tiers below `floor` at every steward of a service before a tier is shed. */
+/** Closes the tiers below `floor` at all stewards of a service before a tier is shed. */
 struct FloorRaise
 {
     ServiceId service;
-    /** The lowest tier that is still admitted. */
+    /** The lowest admitted tier. */
     Tier floor;
-    /** Number of the raise at its sender, for the acknowledgement. */
+    /** Sequence number at the sender, matched by the acknowledgement. */
     std::uint64_t sequence = 0;
-    /** The raise holds this long unless it is sent again. */
+    /** Duration of the raise unless it is renewed. */
     Duration lease {};
     template <typename A, typename S>
     static void fields(A &a, S &s)
@@ -534,7 +534,7 @@
 
 // ---- Suspects and limits ----------------------------------------------------------------------
 
-/** A request that crashed targets. */
+/** A request that has crashed targets. */
 struct SuspectNotice
 {
     Fingerprint fingerprint;
@@ -549,11 +549,11 @@
     auto operator<=>(const SuspectNotice &) const = default;
 };
 
-/** A customer's demand at one entry; the customer's limiter answers with the entry's share. */
+/** A customer's demand at an entry. The customer's limiter replies with the entry's share. */
 struct LimitDemand
 {
     CustomerId customer;
-    /** Requests seen since the last demand. */
+    /** Requests received since the last demand. */
     std::uint32_t arrived = 0;
     Duration over {};
     template <typename A, typename S>
@@ -580,15 +580,15 @@
 // ---- Hints of runs ----------------------------------------------------------------------------
 
 /**
- * Where an engine works on a key that a caller chose. The entry that dispatched it tells a witness
- * in another data centre, so that the stream can be found when the entry dies and the home with it.
+ * The target that runs a request with a caller-supplied key. The dispatching entry sends it to a
+ * witness in another data centre, so that the stream can be found if both entry and home die.
  */
 struct RunHint
 {
     RequestKey key;
     Fingerprint fingerprint;
     TargetId target;
-    /** How long the hint is of use. */
+    /** Remaining validity of the hint. */
     Duration remaining {};
     template <typename A, typename S>
     static void fields(A &a, S &s)
@@ -598,7 +598,7 @@
     auto operator<=>(const RunHint &) const = default;
 };
 
-/** Asks a possible witness where a key's run went. */
+/** Asks a possible witness for the target that runs a key. */
 struct HintQuery
 {
     std::uint64_t sequence = 0;
@@ -612,7 +612,7 @@
     auto operator<=>(const HintQuery &) const = default;
 };
 
-/** An empty target: the witness knows of no such run. */
+/** `target` is empty if the witness knows no such run. */
 struct HintReply
 {
     std::uint64_t sequence = 0;
@@ -626,7 +626,7 @@
     auto operator<=>(const HintReply &) const = default;
 };
 
-/** Kinds are numbered on the wire by their place: append only. */
+/** The index of an alternative is its number on the wire: append only. */
 using PeerMessage
     = std::variant<Probe, ProbeReply, IndirectProbe, MemberListRequest, MemberList, VmList,
                    VmListRequest, DigestRequest, DigestReply, GrantRequest, GrantReply,
@@ -635,7 +635,7 @@
                    FloorAcknowledged, SuspectNotice, LimitDemand, LimitShare, RunHint, HintQuery,
                    HintReply>;
 
-/** A message on its way to a member. */
+/** A message and the member to send it to. */
 struct OutgoingMessage
 {
     MemberId to;
--- a/packages/model/apricothook/model/apricothook_refusal.hpp
+++ b/packages/model/apricothook/model/apricothook_refusal.hpp
@@ -8,13 +8,13 @@
 
 namespace Apricothook {
 
-/** What is known of a request that got no answer. */
+/** Whether a request without an answer may have been executed. */
 enum class Outcome {
-    NotRun,  ///< No byte of the request reached a target, or the target proved that it did not run.
-    Unknown, ///< The request may have run, in part or whole.
+    NotRun,  ///< Never sent to a target, or the target reported that it did not execute it.
+    Unknown, ///< It may have been executed, partly or completely.
 };
 
-/** Why a request is refused; each has one HTTP status and one problem type. */
+/** Why a request was refused. Each reason has one HTTP status and one problem type. */
 enum class RefusalReason {
     BadRequest,
     Unauthorized,
@@ -24,44 +24,44 @@
     BodyTooLarge,
     HeadersTooLarge,
     BodyTimeout,
-    KeyConflict,    ///< The key was used with another body or by another customer.
-    AlreadyRunning, ///< The key was granted before and its answer isn't at hand yet.
-    AnswerGone,     ///< The key ran to its end but its answer is no longer kept.
+    KeyConflict,    ///< The key was used with a different body or by another customer.
+    AlreadyRunning, ///< The key was granted before and its answer isn't available yet.
+    AnswerGone,     ///< The request has completed, but its answer is no longer kept.
     CustomerLimit,
     TooManyConnections,
-    Shed,             ///< Work of the same or a higher tier fills the targets.
-    NoTarget,         ///< No live target serves the service.
-    PatienceTooShort, ///< No target could finish in time, even when idle.
-    PatienceOver,     ///< The patience ended while the request waited.
-    HomeUnreachable,  ///< The daemon that may grant the key didn't answer in time.
-    HomeLostMemory,   ///< The key may be older than its home's present life.
-    HomeFull,         ///< The home holds as many keys as it may.
-    Quarantined,      ///< The same request crashed several targets.
+    Shed,             ///< Requests of the same or a higher tier occupy the targets.
+    NoTarget,         ///< The service has no live target.
+    PatienceTooShort, ///< Not even an idle target could finish within the patience.
+    PatienceOver,     ///< The patience expired while the request was queued.
+    HomeUnreachable,  ///< The home of the key didn't answer in time.
+    HomeLostMemory,   ///< The key may be older than the current process of its home.
+    HomeFull,         ///< The home has reached its limit of keys.
+    Quarantined,      ///< The request has crashed several targets.
     Draining,
-    NotConfigured, ///< No configuration is in force yet.
-    Overloaded,    ///< A ring between threads of the daemon is full.
-    TargetFailed,  ///< The target ended the answer early and it couldn't be resumed.
+    NotConfigured, ///< No configuration has been applied yet.
+    Overloaded,    ///< A queue between threads of the daemon is full.
+    TargetFailed,  ///< The target truncated the answer and it couldn't be resumed.
     TargetTimeout,
-    TargetRefused, ///< Targets proved that they did not run it, and no attempt is left.
-    OutcomeLost,   ///< The key was granted before, and nobody knows any more how it ended.
+    TargetRefused, ///< The targets reported not to have run it, and no attempt is left.
+    OutcomeLost,   ///< The key was granted before, and the outcome can't be determined.
 };
 
-/** A refusal as a caller sees it. */
+/** A refusal as reported to the caller. */
 struct Refusal
 {
     RefusalReason reason = RefusalReason::BadRequest;
     Outcome outcome = Outcome::NotRun;
-    /** When it is worth trying again; absent where trying again doesn't help. */
+    /** Delay after which a retry may succeed; absent if a retry doesn't help. */
     std::optional<Duration> retryAfter;
     auto operator<=>(const Refusal &) const = default;
 };
 
-/** The name in problem documents and events, such as "customer-limit". */
+/** Name in problem documents and events, such as "customer-limit". */
 std::string_view nameOf(RefusalReason reason);
 std::string_view nameOf(Outcome outcome);
-/** The HTTP status that a caller gets. */
+/** HTTP status code of the response. */
 int statusOf(RefusalReason reason);
-/** One sentence for the problem document's title. */
+/** Title of the problem document. */
 std::string_view titleOf(RefusalReason reason);
 
 } // namespace Apricothook
--- a/packages/model/apricothook/model/apricothook_settings.hpp
+++ b/packages/model/apricothook/model/apricothook_settings.hpp
@@ -9,7 +9,7 @@
 
 namespace Apricothook {
 
-/** What one daemon process learns from its settings file. */
+/** Contents of a daemon's settings file. */
 struct Settings
 {
     MemberId id;
@@ -17,20 +17,20 @@
     DataCentreId dataCentre;
     RegionId region;
     Endpoint callerAddress;
-    /** UDP for messages and TCP for JSON-RPC, on the same number. */
+    /** Peer messages use UDP and JSON-RPC uses TCP, both on this port. */
     Endpoint peerAddress;
     Endpoint metricsAddress;
     Endpoint platformAddress;
-    /** Peer addresses of daemons to join through; may name this daemon. */
+    /** Peer addresses of the daemons to join through; may include this daemon. */
     std::vector<Endpoint> seeds;
-    /** File with one peer key per line, "NUMBER HEX"; the first signs, all are accepted. */
+    /** File with a peer key per line, "NUMBER HEX". The first key signs; all verify. */
     std::string peerKeyFile;
-    /** Empty: log to standard error. */
+    /** Logs go to standard error if empty. */
     std::string logFolder;
     int logLevel = 0;
-    /** Most lines that one event number gets in a second; the others are counted. */
+    /** Maximum log lines per event number and second; further ones are only counted. */
     std::uint32_t logLinesPerSecond = 20;
-    /** Where this daemon listens for others; peerAddress unless addresses are translated. */
+    /** Local address of the peer port; differs from peerAddress behind address translation. */
     Endpoint peerListenAddress;
     auto operator<=>(const Settings &) const = default;
 };
--- a/packages/model/apricothook/model/apricothook_socket_address.hpp
+++ b/packages/model/apricothook/model/apricothook_socket_address.hpp
@@ -8,8 +8,7 @@
 
 struct Endpoint;
 
-/** The endpoint as the socket functions take it, IPv4 or IPv6; nothing when it isn't an IP number.
- */
+/** Converts an IPv4 or IPv6 endpoint for the socket API; nullopt if its address isn't numeric. */
 std::optional<sockaddr_storage> socketAddressOf(const Endpoint &endpoint);
 
 } // namespace Apricothook
--- a/packages/model/apricothook/model/apricothook_time.hpp
+++ b/packages/model/apricothook/model/apricothook_time.hpp
@@ -5,23 +5,23 @@
 
 namespace Apricothook {
 
-/** A span of time with a resolution of one microsecond. */
+/** Time span with a resolution of one microsecond. */
 using Duration = std::chrono::microseconds;
 
-/** A moment on the steady clock of one process; never compared between processes. */
+/** Point in time on the steady clock of this process; not comparable between processes. */
 using Instant = std::chrono::time_point<std::chrono::steady_clock, Duration>;
 
-/** Source of the present moment; injected so that tests need no sleep. */
+/** Provides the current time. Injected, so that tests don't have to sleep. */
 class Clock
 {
 public:
     virtual ~Clock() = default;
     virtual Instant now() const = 0;
-    /** Milliseconds since the Unix epoch, for issue times that other processes read. */
+    /** Milliseconds since the Unix epoch, for timestamps that other processes read. */
     virtual std::uint64_t wallMilliseconds() const = 0;
 };
 
-/** Source of random numbers; injected so that a run can be repeated from its seed. */
+/** Source of random numbers. Injected, so that a run can be reproduced from its seed. */
 class RandomSource
 {
 public:
--- a/packages/ports/apricothook/ports/apricothook_answer_stream.cpp
+++ b/packages/ports/apricothook/ports/apricothook_answer_stream.cpp
@@ -139,8 +139,8 @@
             m_buffer.erase(0, m_taken);
             m_taken = 0;
         }
-        // Woken at half, not at the first byte, so that a slow reader doesn't make the writer
-        // start and stop for every read.
+        // The writer resumes when the buffer is half empty. Waking it earlier would make it
+        // pause and resume with every read of a slow reader.
         if (m_isPaused && m_buffer.size() - m_taken <= Capacity / 2) {
             m_isPaused = false;
             wake = m_onRoom;
--- a/packages/ports/apricothook/ports/apricothook_answer_stream.hpp
+++ b/packages/ports/apricothook/ports/apricothook_answer_stream.hpp
@@ -29,7 +29,7 @@
     auto operator<=>(const AnswerHead &) const = default;
 };
 
-/** A whole answer as it is kept for those who send the request again. */
+/** A complete answer, kept to replay it to resends of the request. */
 struct KeptAnswer
 {
     AnswerHead head;
@@ -38,40 +38,40 @@
 };
 
 /**
- * Carries one answer from a writer (target adapter or decision core) to a reader (caller adapter),
- * each in a thread of its own. It holds at most `Capacity` bytes that the reader hasn't taken, so
- * that a slow caller slows its target down and never fills the memory.
+ * Passes an answer from a writer (target adapter or decision core) to a reader (caller adapter) in
+ * another thread. Buffers at most `Capacity` unread bytes, so that a slow caller throttles its
+ * target instead of filling the memory.
  *
- * Exactly one of refuse(), finish() and cut() ends it; calls after that are ignored. The callbacks
- * run in the thread of the other side, outside the lock, and must only wake their own thread.
+ * The first call of refuse(), finish() or cut() ends the stream; later calls are ignored.
+ * Callbacks run in the other side's thread, without the lock, and may only wake their own thread.
  */
 class AnswerStream
 {
 public:
     static constexpr std::size_t Capacity = 64UL * 1024;
     enum class State {
-        Waiting,  ///< No head yet.
-        Open,     ///< The head is known; the body may be incomplete.
-        Finished, ///< The whole answer was written.
+        Waiting,  ///< The head has not been written.
+        Open,     ///< The head has been written; the body may be incomplete.
+        Finished, ///< The complete answer has been written.
         Refused,
-        Cut, ///< The answer can't be completed; the caller must see a broken answer.
+        Cut, ///< The answer can't be completed; the caller must get a truncated answer.
     };
 
     // ---- Writer.
 
-    /** False when a head was written before or the stream has ended. */
+    /** Writes the head. False if one was written before or the stream has ended. */
     bool begin(AnswerHead head);
-    /** Takes all bytes; false when the writer should pause until the room callback. */
+    /** Buffers all bytes. False if the writer should pause until the room callback. */
     bool append(std::string_view bytes);
     void finish();
     void cut();
-    /** Refuses when no head was written; cuts otherwise, as the status can't be taken back. */
+    /** Refuses if no head was written; aborts otherwise, as the status was already sent. */
     void refuse(const Refusal &refusal);
-    /** Keeps a copy of the answer while it is no longer than `limit` bytes; call before begin(). */
+    /** Retains a copy of the answer up to `limit` bytes. Must be called before begin(). */
     void retain(std::size_t limit);
-    /** The retained answer once it finished; null when it was too long or isn't finished. */
+    /** The retained answer; null if the answer is too long or hasn't finished. */
     std::shared_ptr<const KeptAnswer> retained() const;
-    /** True once the reader has gone; the writer should cancel its work. */
+    /** Whether the reader has abandoned the answer; the writer should then cancel its work. */
     bool isAbandoned() const;
     void setRoomCallback(std::function<void()> callback);
 
@@ -80,19 +80,19 @@
     State state() const;
     std::optional<AnswerHead> head() const;
     std::optional<Refusal> refusal() const;
-    /** Takes up to `size` bytes; 0 when none is there (see state() for whether more can come). */
+    /** Reads up to `size` bytes; 0 if none is available (state() tells whether more may follow). */
     std::size_t read(char *to, std::size_t size);
-    /** True when a read would give bytes or the stream has ended. */
+    /** Whether bytes are available or the stream has ended. */
     bool isReadable() const;
     void abandon();
     void setReadableCallback(std::function<void()> callback);
 
     // ---- Both.
 
-    /** The key that the answer carries in Apricothook-Request. */
+    /** Key that is sent in the answer's Apricothook-Request header. */
     void setKey(const RequestKey &key);
     RequestKey key() const;
-    /** Body bytes written so far; the offset from which a broken stream is resumed. */
+    /** Body bytes written so far: the offset at which a broken stream is resumed. */
     std::size_t written() const;
 
 private:
--- a/packages/ports/apricothook/ports/apricothook_bounded_queue.hpp
+++ b/packages/ports/apricothook/ports/apricothook_bounded_queue.hpp
@@ -15,15 +15,15 @@
 namespace Apricothook {
 
 /**
- * A bounded queue of values between threads. A full ring refuses at once: a writer that blocked
- * would let one slow duty stop all the others.
+ * A bounded queue of values between threads. Pushing to a full queue fails immediately: a blocking
+ * push would let one slow consumer stall all others.
  */
 template <typename T>
 class BoundedQueue
 {
 public:
     explicit BoundedQueue(std::size_t capacity)
-        // The queue counts the bytes of its items; its water marks are set to match.
+        // ACE measures the queue in bytes, so the water marks are given in bytes.
         : m_queue(capacity * sizeof(T), capacity * sizeof(T))
     {
     }
@@ -34,10 +34,10 @@
     BoundedQueue(const BoundedQueue &) = delete;
     BoundedQueue &operator=(const BoundedQueue &) = delete;
 
-    /** False when the ring is full or closed; `value` is lost then. */
+    /** False if the queue is full or closed; `value` is discarded then. */
     bool tryPush(T value) { return tryPushOrKeep(value); }
 
-    /** As tryPush(), but `value` is as it was when this is false. */
+    /** As tryPush(), but leaves `value` unchanged if this is false. */
     bool tryPushOrKeep(T &value)
     {
         auto owned = std::make_unique<T>(std::move(value));
@@ -46,13 +46,13 @@
             value = std::move(*owned);
             return false;
         }
-        static_cast<void>(owned.release()); // The queue owns it now.
+        static_cast<void>(owned.release()); // Now owned by the queue.
         return true;
     }
 
     std::optional<T> tryPop() { return pop(Duration::zero()); }
 
-    /** Waits up to `patience`; nothing when none came or the ring was closed. */
+    /** Waits up to `patience` for a value; nullopt if none was pushed or if the queue is closed. */
     std::optional<T> pop(Duration patience)
     {
         ACE_Time_Value until = ACE_OS::gettimeofday();
@@ -65,7 +65,7 @@
         return std::move(*owned);
     }
 
-    /** Wakes all who wait; what is in the ring is dropped. */
+    /** Closes the queue, discards its values and wakes all waiting threads. */
     void close() { m_queue.deactivate(); }
     std::size_t size() { return m_queue.message_count(); }
 
--- a/packages/ports/apricothook/ports/apricothook_caller_event.hpp
+++ b/packages/ports/apricothook/ports/apricothook_caller_event.hpp
@@ -11,33 +11,33 @@
 
 namespace Apricothook {
 
-/** What the scheduler must know of a body; the body itself is never read again. */
+/** Properties of a request body that scheduling needs; the body isn't parsed again. */
 struct RequestSketch
 {
     ModelId model;
     std::uint32_t promptTokens = 0;
-    /** Longest answer that the caller asked for, in tokens; 0 where it didn't say. */
+    /** Maximum answer length that the caller requested, in tokens; 0 if not specified. */
     std::uint32_t maximumTokens = 0;
     std::vector<PrefixHash> prefixes;
-    /** Of method, path and body. */
+    /** Fingerprint of method, path and body. */
     Fingerprint fingerprint;
     auto operator<=>(const RequestSketch &) const = default;
 };
 
-/** A caller's request for a service, whole and well formed, not yet authorised. */
+/** A complete, well-formed request for a service; not yet authorised. */
 struct CallerRequest
 {
     ExchangeId exchange;
-    /** SHA-256 of the bearer token in lower-case hex; empty when there was none. */
+    /** SHA-256 of the bearer token in lower-case hex; empty without a token. */
     std::string tokenHash;
     ServiceId service;
     std::string method;
-    /** Path and query below the service, starting with '/'. */
+    /** Path and query relative to the service, starting with '/'. */
     std::string path;
-    /** Headers that go on to the target. */
+    /** Headers that are forwarded to the target. */
     std::vector<Header> headers;
     ClassId requestClass;
-    /** Empty when the caller gave none. */
+    /** Empty if the caller supplied no key. */
     RequestKey key;
     /** From "Prefer: wait=SECONDS"; shortens the patience of the class. */
     std::optional<Duration> wait;
@@ -46,13 +46,13 @@
     std::shared_ptr<AnswerStream> answer;
 };
 
-/** The caller's connection broke or was closed before the answer was whole. */
+/** The caller's connection was closed before the answer was complete. */
 struct CallerGone
 {
     ExchangeId exchange;
 };
 
-/** GET /v1/requests/KEY: the answer, or a JSON state document. */
+/** GET /v1/requests/KEY; answered with the request's answer or a JSON state document. */
 struct KeyLookup
 {
     ExchangeId exchange;
--- a/packages/ports/apricothook/ports/apricothook_core_event.hpp
+++ b/packages/ports/apricothook/ports/apricothook_core_event.hpp
@@ -12,7 +12,7 @@
 
 namespace Apricothook {
 
-/** A message from another daemon, already authenticated. */
+/** An authenticated message from another daemon. */
 struct PeerMessageReceived
 {
     MemberInstance from;
@@ -20,15 +20,15 @@
     PeerMessage message;
 };
 
-/** A fleet text that was read, from the platform or a peer, and passed every check. */
+/** A valid fleet text was received from the platform or a peer. */
 struct ConfigurationArrived
 {
     std::shared_ptr<const Configuration> configuration;
-    /** As it was read, so that peers can be given the same bytes. */
+    /** The text as received, so that peers get identical bytes. */
     std::shared_ptr<const std::string> text;
 };
 
-/** A fleet text that was refused whole. */
+/** A fleet text was rejected as a whole. */
 struct ConfigurationRejected
 {
     Generation generation;
@@ -37,19 +37,19 @@
     std::string firstError;
 };
 
-/** The platform's list of leaving VMs. */
+/** The platform's list of leaving VMs was received. */
 struct VmsArrived
 {
     VmList list;
 };
 
-/** The platform answered, or didn't. */
+/** The platform was queried; tells whether it answered. */
 struct PlatformReachability
 {
     bool isReachable = false;
 };
 
-/** An answer that another daemon kept was fetched, or couldn't be. */
+/** Fetching a kept answer from another daemon has ended; `answer` is null on failure. */
 struct KeptAnswerArrived
 {
     ExchangeId exchange;
@@ -58,7 +58,7 @@
 
 enum class OperatorQuestion { Status, Explain };
 
-/** A question of the operators' command line; the answer is a JSON document. */
+/** A query of the operators' command line; answered with a JSON document. */
 struct OperatorAsked
 {
     OperatorQuestion question = OperatorQuestion::Status;
@@ -66,14 +66,14 @@
     std::shared_ptr<std::promise<std::string>> answer;
 };
 
-/** Another daemon asks for an answer that this one may have kept; null when it hasn't. */
+/** Another daemon asks for an answer that this one may keep; answered with null if not. */
 struct KeptAnswerAsked
 {
     RequestKey key;
     std::shared_ptr<std::promise<std::shared_ptr<const KeptAnswer>>> answer;
 };
 
-/** SIGTERM: leave, drain, stop. */
+/** SIGTERM was received: leave, drain and stop. */
 struct StopRequested
 {
 };
--- a/packages/ports/apricothook/ports/apricothook_core_inbox.hpp
+++ b/packages/ports/apricothook/ports/apricothook_core_inbox.hpp
@@ -4,16 +4,16 @@
 
 namespace Apricothook {
 
-/** The way into the decision core, from any thread. */
+/** Passes events to the decision core; callable from any thread. */
 class CoreInbox
 {
 public:
     virtual ~CoreInbox() = default;
-    /** False when the core is behind: the giver must refuse its work as not run, never wait. */
+    /** False if the core is overloaded: the caller must refuse the work as not run and not wait. */
     virtual bool tryPost(CoreEvent event) = 0;
     /**
-     * For events that must not be lost, such as the end of a dispatch: kept by the giver's side of
-     * the ring until there is room. There are at most as many of them as there is work admitted.
+     * For events that must not be lost, such as the end of a dispatch. They are buffered before the
+     * queue until it has capacity; their number is bounded by the admitted work.
      */
     virtual void post(CoreEvent event) = 0;
 };
--- a/packages/ports/apricothook/ports/apricothook_core_ports.hpp
+++ b/packages/ports/apricothook/ports/apricothook_core_ports.hpp
@@ -9,39 +9,39 @@
 
 namespace Apricothook {
 
-/** Where the core sends work for targets. */
+/** Sends orders of the core to the target adapter. */
 class TargetPort
 {
 public:
     virtual ~TargetPort() = default;
-    /** False when the adapter's ring is full: nothing was sent and nothing will be. */
+    /** False if the adapter's queue is full; the order is then not carried out. */
     virtual bool order(TargetOrder order) = 0;
 };
 
-/** Where the core sends messages to other daemons; they may get lost. */
+/** Sends messages to other daemons, without guaranteed delivery. */
 class PeerPort
 {
 public:
     virtual ~PeerPort() = default;
     virtual void send(const MemberId &to, const Endpoint &address, const PeerMessage &message) = 0;
-    /** Called at the end of each turn of the core: what was sent in it leaves in few datagrams. */
+    /** Called after each turn of the core, so that its messages are packed into few datagrams. */
     virtual void flush() { }
 };
 
-/** What the core asks of the threads that read the platform and fetch from peers. */
+/** Requests of the core to the threads that read from the platform and from peers. */
 class PlatformPort
 {
 public:
     virtual ~PlatformPort() = default;
-    /** Whether this daemon is one of its data centre's few watchers; `after` is in force here. */
+    /** Sets whether this daemon watches the platform for its data centre, from `after` on. */
     virtual void setWatching(bool isWatching, Generation after) = 0;
-    /** Reads the platform once now, whether watching or not. */
+    /** Reads from the platform once, whether or not this daemon is watching. */
     virtual void readOnce(Generation after) = 0;
-    /** Fetches a fleet text from a peer that has it in force. */
+    /** Fetches a fleet text from a peer that has applied it. */
     virtual void fetchText(const Endpoint &peer, Generation generation, std::uint64_t textHash) = 0;
-    /** Fetches a kept answer from its holder; ends in KeptAnswerArrived. */
+    /** Fetches a kept answer from its holder; the result is posted as KeptAnswerArrived. */
     virtual void fetchAnswer(const Endpoint &peer, const RequestKey &key, ExchangeId exchange) = 0;
-    /** The text to give to peers that fetch it. */
+    /** Sets the fleet text that peers can fetch. */
     virtual void offerText(Generation generation, std::uint64_t textHash,
                            std::shared_ptr<const std::string> text)
         = 0;
--- a/packages/ports/apricothook/ports/apricothook_system_clock.cpp
+++ b/packages/ports/apricothook/ports/apricothook_system_clock.cpp
@@ -6,8 +6,8 @@
 
 Instant SystemClock::now() const
 {
-    // The steady clock stands still while a VM is suspended: when it wakes, what it knew seconds
-    // ago would count as heard just now, and it would act on grants and members that are gone.
+    // std::chrono::steady_clock stops while a VM is suspended. After a resume, outdated state would
+    // look recent, and the daemon would rely on expired grants and departed members.
     timespec time {};
     clock_gettime(CLOCK_BOOTTIME, &time);
     const auto since = std::chrono::seconds(time.tv_sec) + std::chrono::nanoseconds(time.tv_nsec);
--- a/packages/ports/apricothook/ports/apricothook_system_clock.hpp
+++ b/packages/ports/apricothook/ports/apricothook_system_clock.hpp
@@ -4,7 +4,7 @@
 
 namespace Apricothook {
 
-/** The machine's clocks. */
+/** Clock that reads the system's clocks. */
 class SystemClock : public Clock
 {
 public:
--- a/packages/ports/apricothook/ports/apricothook_system_random.hpp
+++ b/packages/ports/apricothook/ports/apricothook_system_random.hpp
@@ -6,7 +6,7 @@
 
 namespace Apricothook {
 
-/** Random numbers from a seed of the machine; for one thread. */
+/** Random numbers from a seed of the system's entropy source. Not thread-safe. */
 class SystemRandom : public RandomSource
 {
 public:
--- a/packages/ports/apricothook/ports/apricothook_target_event.hpp
+++ b/packages/ports/apricothook/ports/apricothook_target_event.hpp
@@ -8,28 +8,28 @@
 
 namespace Apricothook {
 
-/** The first byte of an answer came. */
+/** The first byte of an answer was received. */
 struct DispatchStarted
 {
     DispatchId dispatch;
     Duration firstByte {};
 };
 
-/** A dispatch ended; the adapter sends nothing more for it. */
+/** A dispatch has ended; the last event for it. */
 struct DispatchEnded
 {
     DispatchId dispatch;
     RunEnd end = RunEnd::Answered;
-    /** True only where no byte was sent, or the target's protocol says that it did not run. */
+    /** Whether no byte was sent, or the target reported that the request did not run. */
     bool isProvenNotRun = false;
     int status = 0;
     std::uint32_t outputTokens = 0;
     std::uint64_t answerBytes = 0;
-    /** Times that the stream was resumed on a new connection. */
+    /** Number of times that the stream was resumed on a new connection. */
     std::uint32_t resumes = 0;
     Duration firstByte {};
     Duration streaming {};
-    /** Prompt tokens that the engine found in its cache; 0 where it didn't say. */
+    /** Prompt tokens that the engine found in its cache; 0 if not reported. */
     std::uint32_t cachedTokens = 0;
 };
 
@@ -37,11 +37,11 @@
 {
     std::uint64_t id = 0;
     TargetId target;
-    /** HTTP status; 0 when the engine couldn't be reached; 409 for an old fencing number. */
+    /** HTTP status: 0 if the engine was unreachable, 409 for a stale fencing token. */
     int status = 0;
 };
 
-/** An engine's own word of its load; it lags. */
+/** Load as reported by an engine; may be out of date. */
 struct LoadReport
 {
     TargetId target;
@@ -56,12 +56,12 @@
 struct CacheEvent
 {
     std::uint64_t sequence = 0;
-    bool isStored = false; ///< Otherwise evicted.
+    bool isStored = false; ///< False: evicted.
     PrefixHash prefix;
     auto operator<=>(const CacheEvent &) const = default;
 };
 
-/** Cache events of an engine in order of sequence; sequences may be missing. */
+/** Cache events of an engine, ordered by sequence number, possibly with gaps. */
 struct CacheEvents
 {
     TargetId target;
--- a/packages/ports/apricothook/ports/apricothook_target_order.hpp
+++ b/packages/ports/apricothook/ports/apricothook_target_order.hpp
@@ -11,22 +11,22 @@
 
 namespace Apricothook {
 
-/** Names one dispatch of one daemon process. */
+/** Identifies a dispatch within a daemon process. */
 using DispatchId = Number<struct DispatchIdKind>;
 
-/** Deadlines of our own; the kernel's are minutes long and miss a silent connection. */
+/** Time limits of a dispatch; those of the kernel last minutes and miss a silent connection. */
 struct DispatchDeadlines
 {
     Duration connect = std::chrono::seconds(1);
-    /** From the last byte of the request sent. */
+    /** From the last byte sent of the request. */
     Duration firstByte = std::chrono::seconds(30);
     Duration betweenBytes = std::chrono::seconds(5);
-    /** The patience that is left: the whole answer must be there by then. */
+    /** End of the patience: the complete answer must have been received by then. */
     Instant end {};
     auto operator<=>(const DispatchDeadlines &) const = default;
 };
 
-/** Sends a request to a target, once, and streams the answer back. */
+/** Sends a request to a target once and streams the answer back. */
 struct DispatchOrder
 {
     DispatchId dispatch;
@@ -37,18 +37,18 @@
     std::string path;
     std::vector<Header> headers;
     std::shared_ptr<const std::string> body;
-    /** Derived from the key: sent as Idempotency-Key, and for engines as Engine-Stream. */
+    /** Sent as Idempotency-Key; engines also get `streamId`, derived from it, as Engine-Stream. */
     RequestKey key;
     std::string streamId;
-    /** The adapter reads the clock just before the first byte and sends nothing after this. */
+    /** Checked right before the first byte is sent; nothing is sent after this time. */
     Instant notAfter {};
     DispatchDeadlines deadlines;
     std::shared_ptr<AnswerStream> answer;
-    /** True: the request ran before; only its stream is fetched from `answer->written()` on. */
+    /** Whether only the stream of an earlier run is fetched, from `answer->written()` on. */
     bool resumesOnly = false;
 };
 
-/** Ends a dispatch, and the work at the engine where it can be cancelled. */
+/** Ends a dispatch and cancels the work at the engine if possible. */
 struct CancelOrder
 {
     DispatchId dispatch;
@@ -56,22 +56,22 @@
 
 enum class EngineOrderKind { LoadModel, UnloadModel, LoadAdapter, SetRole };
 
-/** An operator's wish for an engine, derived from the configuration in force; idempotent. */
+/** A change of an engine that the applied configuration requires; idempotent. */
 struct EngineOrder
 {
     std::uint64_t id = 0;
     TargetId target;
     Endpoint address;
     EngineOrderKind kind = EngineOrderKind::LoadModel;
-    /** Model, adapter or role. */
+    /** Name of the model, adapter or role. */
     std::string subject;
     std::string version;
     std::uint64_t fencing = 0;
-    /** Not sent after this moment: the freshness that allowed the order has passed. */
+    /** Not sent after this time, as the configuration may then be stale. */
     Instant notAfter {};
 };
 
-/** Asks an engine for its load and its cache events. */
+/** Polls an engine for its load and its cache events. */
 struct PollOrder
 {
     TargetId target;
--- a/packages/ports/tests/apricothook_answer_stream_tests.cpp
+++ b/packages/ports/tests/apricothook_answer_stream_tests.cpp
@@ -23,11 +23,11 @@
 
 } // namespace
 
-TEST_CASE("An answer stream gives the reader the writer's bytes, once and in order")
+TEST_CASE("An answer stream delivers all written bytes in order")
 {
     AnswerStream stream;
-    int wakes = 0;
-    stream.setReadableCallback([&wakes] { ++wakes; });
+    int wakeups = 0;
+    stream.setReadableCallback([&wakeups] { ++wakeups; });
     CHECK(stream.begin(AnswerHead {200, {}}));
     CHECK(stream.append("one "));
     CHECK(stream.append("two"));
@@ -36,10 +36,10 @@
     stream.finish();
     CHECK(stream.isReadable());
     CHECK(stream.state() == AnswerStream::State::Finished);
-    CHECK(wakes == 4);
+    CHECK(wakeups == 4);
 }
 
-TEST_CASE("A refusal after the head is a cut, as the status can't be taken back")
+TEST_CASE("A refusal after the head aborts the answer, as the status was already sent")
 {
     AnswerStream stream;
     stream.begin(AnswerHead {200, {}});
@@ -47,21 +47,21 @@
     CHECK(stream.state() == AnswerStream::State::Cut);
 }
 
-TEST_CASE("A slow reader pauses the writer and wakes it when half of the room is free")
+TEST_CASE("A slow reader pauses the writer and resumes it when the buffer is half empty")
 {
     AnswerStream stream;
-    int wakes = 0;
-    stream.setRoomCallback([&wakes] { ++wakes; });
+    int wakeups = 0;
+    stream.setRoomCallback([&wakeups] { ++wakeups; });
     stream.begin(AnswerHead {200, {}});
     CHECK_FALSE(stream.append(std::string(AnswerStream::Capacity, 'x')));
     std::array<char, AnswerStream::Capacity / 4> bytes;
     stream.read(bytes.data(), bytes.size());
-    CHECK(wakes == 0);
+    CHECK(wakeups == 0);
     stream.read(bytes.data(), bytes.size());
-    CHECK(wakes == 1);
+    CHECK(wakeups == 1);
 }
 
-TEST_CASE("An answer is retained only whole and within the limit")
+TEST_CASE("An answer is retained only if it is complete and within the limit")
 {
     AnswerStream stream;
     stream.retain(4);
@@ -82,36 +82,36 @@
     }
 }
 
-TEST_CASE("A full ring refuses at once and takes again when it has room")
+TEST_CASE("A full queue rejects values immediately and accepts them when it has capacity")
 {
-    BoundedQueue<int> ring(2);
-    CHECK(ring.tryPush(1));
-    CHECK(ring.tryPush(2));
-    CHECK_FALSE(ring.tryPush(3));
-    CHECK(ring.tryPop() == 1);
-    CHECK(ring.tryPush(4));
-    CHECK(ring.tryPop() == 2);
-    CHECK(ring.tryPop() == 4);
-    CHECK_FALSE(ring.tryPop());
+    BoundedQueue<int> queue(2);
+    CHECK(queue.tryPush(1));
+    CHECK(queue.tryPush(2));
+    CHECK_FALSE(queue.tryPush(3));
+    CHECK(queue.tryPop() == 1);
+    CHECK(queue.tryPush(4));
+    CHECK(queue.tryPop() == 2);
+    CHECK(queue.tryPop() == 4);
+    CHECK_FALSE(queue.tryPop());
 }
 
-TEST_CASE("Values put by several threads are each taken once")
+TEST_CASE("Each value pushed by several threads is popped exactly once")
 {
     constexpr int PerThread = 2000;
-    BoundedQueue<int> ring(64);
-    const auto put = [&ring] {
+    BoundedQueue<int> queue(64);
+    const auto push = [&queue] {
         for (int i = 0; i < PerThread; ++i) {
-            while (!ring.tryPush(i))
+            while (!queue.tryPush(i))
                 std::this_thread::yield();
         }
     };
-    std::thread first(put);
-    std::thread second(put);
+    std::thread first(push);
+    std::thread second(push);
     long sum = 0;
-    for (int taken = 0; taken < 2 * PerThread;) {
-        if (const std::optional<int> value = ring.pop(std::chrono::seconds(10))) {
+    for (int popped = 0; popped < 2 * PerThread;) {
+        if (const std::optional<int> value = queue.pop(std::chrono::seconds(10))) {
             sum += *value;
-            ++taken;
+            ++popped;
         }
     }
     first.join();
--- a/packages/testsupport/apricothook/testsupport/apricothook_deterministic_random.hpp
+++ b/packages/testsupport/apricothook/testsupport/apricothook_deterministic_random.hpp
@@ -4,7 +4,7 @@
 
 namespace Apricothook {
 
-/** SplitMix64: repeatable from its seed. */
+/** SplitMix64 generator with a reproducible sequence for each seed. */
 class DeterministicRandom : public RandomSource
 {
 public:
--- a/packages/testsupport/apricothook/testsupport/apricothook_fake_member_view.hpp
+++ b/packages/testsupport/apricothook/testsupport/apricothook_fake_member_view.hpp
@@ -7,7 +7,7 @@
 
 namespace Apricothook::Testing {
 
-/** Members with addresses left out; `dead` are those that this daemon believes dead. */
+/** Member view that a test sets up; its members have no addresses. */
 class FakeMemberView : public MemberView
 {
 public:
--- a/packages/testsupport/apricothook/testsupport/apricothook_manual_clock.hpp
+++ b/packages/testsupport/apricothook/testsupport/apricothook_manual_clock.hpp
@@ -6,11 +6,11 @@
 
 namespace Apricothook {
 
-/** Stands still unless the test moves it; may be read by other threads. */
+/** Clock that only the test advances; may be read by other threads. */
 class ManualClock : public Clock
 {
 public:
-    /** Not zero at its start, so that a time left at its default is told apart. */
+    /** Not zero, so that it differs from an unset time. */
     static constexpr Duration Start = std::chrono::seconds(1000);
 
     Instant now() const override { return Instant(Duration(m_microseconds)); }
--- a/packages/testsupport/apricothook/testsupport/apricothook_recording_event_sink.hpp
+++ b/packages/testsupport/apricothook/testsupport/apricothook_recording_event_sink.hpp
@@ -8,7 +8,7 @@
 
 namespace Apricothook {
 
-/** Keeps the numbers of the events of all threads, in the order of their arrival. */
+/** Records the numbers of the events of all threads in order of arrival. */
 class RecordingEventSink : public EventSink
 {
 public:
@@ -28,7 +28,7 @@
     {
         return count(event) > 0;
     }
-    /** How many events came before the first of this kind; all of them when there is none. */
+    /** Number of events before the first one of this number; the total if there is none. */
     template <typename Event>
     std::size_t placeOf(Event event) const
     {
--- a/packages/testsupport/apricothook/testsupport/apricothook_recording_inbox.hpp
+++ b/packages/testsupport/apricothook/testsupport/apricothook_recording_inbox.hpp
@@ -9,8 +9,7 @@
 
 namespace Apricothook {
 
-/** In the core's place: keeps what adapters give, and waits a bounded time for what a test needs.
- */
+/** Records the events that adapters post to the core, and lets a test wait for them. */
 class RecordingInbox : public CoreInbox
 {
 public:
@@ -25,14 +24,14 @@
         m_events.push_back(std::move(event));
         m_arrived.notify_all();
     }
-    /** All events of a kind so far. */
+    /** All events of type T received so far. */
     template <typename T>
     std::vector<T> all() const
     {
         const std::lock_guard lock(m_mutex);
         return select<T>();
     }
-    /** The `count`-th event of a kind; nothing when it doesn't come. */
+    /** Waits for the `count`-th event of type T; nullopt on timeout. */
     template <typename T>
     std::optional<T> wait(std::size_t count = 1) const
     {
@@ -41,7 +40,7 @@
         const std::vector<T> found = select<T>();
         return found.size() >= count ? std::optional(found[count - 1]) : std::nullopt;
     }
-    /** The kinds of all events so far, as places in the variant. */
+    /** Variant indexes of all events received so far. */
     std::vector<std::size_t> kinds() const
     {
         const std::lock_guard lock(m_mutex);
@@ -52,7 +51,7 @@
     }
 
 private:
-    // For a test that hangs; no verdict depends on it.
+    // Only ends a hanging test; no check depends on it.
     static constexpr auto Patience = std::chrono::seconds(20);
 
     template <typename T>
--- a/packages/testsupport/apricothook/testsupport/apricothook_wait_until.hpp
+++ b/packages/testsupport/apricothook/testsupport/apricothook_wait_until.hpp
@@ -6,7 +6,7 @@
 
 namespace Apricothook {
 
-/** Waits for another thread; the limit is for a test that hangs, no verdict depends on it. */
+/** Waits for a condition set by another thread. The limit only ends a hanging test. */
 inline bool waitUntil(const std::function<bool()> &isTrue)
 {
     constexpr int MostTurns = 20'000;
