--- a/packages/bench/apricothook/bench/apricothook_bench_core.cpp
+++ b/packages/bench/apricothook/bench/apricothook_bench_core.cpp
@@ -47,7 +47,7 @@
 void BenchCore::applyConfiguration(const std::shared_ptr<const Configuration> &configuration)
 {
     m_digest = {configuration->generation, configuration->textHash, 0};
-    m_core->handle(ConfigurationArrived {configuration, std::make_shared<const std::string>()},
+    m_core->handle(ConfigurationReceived {configuration, std::make_shared<const std::string>()},
                    m_now);
     m_core->handle(PlatformReachability {true}, m_now);
 }
@@ -73,12 +73,12 @@
     if (!isTicketed)
         request.key = RequestKey("order-" + std::to_string(m_next));
     request.body = std::make_shared<const std::string>(400, 'x');
-    request.sketch.model = ModelId("model-0001");
-    request.sketch.promptTokens = 400;
-    request.sketch.maximumTokens = 100;
+    request.profile.model = ModelId("model-0001");
+    request.profile.promptTokens = 400;
+    request.profile.maximumTokens = 100;
     for (std::uint64_t block = 1; block <= MaximumPrefixes; ++block)
-        request.sketch.prefixes.push_back(PrefixHash((m_next % 50) * 100 + block));
-    request.sketch.fingerprint = Fingerprint(m_next);
+        request.profile.prefixes.push_back(PrefixHash((m_next % 50) * 100 + block));
+    request.profile.fingerprint = Fingerprint(m_next);
     request.answer = std::make_shared<AnswerStream>();
     m_core->handle(std::move(request), m_now);
 }
--- a/packages/caller/apricothook/caller/apricothook_request_sketch.cpp
+++ b/packages/caller/apricothook/caller/apricothook_request_sketch.cpp
@@ -87,7 +87,7 @@
 }
 
 /** False when the body isn't a completion. */
-bool readCompletion(std::string_view body, RequestSketch &sketch)
+bool readCompletion(std::string_view body, RequestProfile &sketch)
 {
     const std::optional<Json::Value> completion = parseJson(body);
     if (!completion || !completion->isObject() || !(*completion)["prompt"].isString())
@@ -110,9 +110,9 @@
 
 } // namespace
 
-RequestSketch sketchOf(const SketchSource &source)
+RequestProfile sketchOf(const SketchSource &source)
 {
-    RequestSketch sketch;
+    RequestProfile sketch;
     sketch.fingerprint = fingerprintOf(source);
     if (!looksLikeCompletion(source) || !readCompletion(source.body, sketch))
         sketch.promptTokens = tokensIn(source.body.size());
--- a/packages/caller/apricothook/caller/apricothook_request_sketch.hpp
+++ b/packages/caller/apricothook/caller/apricothook_request_sketch.hpp
@@ -23,7 +23,7 @@
  *
  * Costs one pass over the body, and a JSON parse only of documents with few values.
  */
-RequestSketch sketchOf(const SketchSource &source);
+RequestProfile sketchOf(const SketchSource &source);
 
 /**
  * Hashes of the prompt's beginnings: entry i covers the first 2^i blocks of 1,024 bytes. At most
--- a/packages/caller/apricothook/caller/internal/apricothook_answer_response.cpp
+++ b/packages/caller/apricothook/caller/internal/apricothook_answer_response.cpp
@@ -123,7 +123,7 @@
         return sendRefusal(connection, *exchange, *refusal);
     const std::optional<AnswerHead> head = exchange->answer->head();
     // Nothing was sent yet, so that the caller can be told more than by a broken answer.
-    if (!head || exchange->answer->state() == AnswerStream::State::Cut)
+    if (!head || exchange->answer->state() == AnswerStream::State::Aborted)
         return sendRefusal(connection, *exchange, targetFailed());
     if (head->status < LowestFinalStatus || head->status > HighestStatus)
         return sendRefusal(connection, *exchange, targetFailed());
--- a/packages/caller/apricothook/caller/internal/apricothook_exchange_service.cpp
+++ b/packages/caller/apricothook/caller/internal/apricothook_exchange_service.cpp
@@ -231,8 +231,8 @@
     request.requestClass = exchange.headers.requestClass;
     request.key = exchange.headers.key;
     request.wait = exchange.headers.wait;
-    request.sketch = sketchOf({exchange.method, route.service.text(), route.path,
-                               exchange.headers.contentType, exchange.body->bytes()});
+    request.profile = sketchOf({exchange.method, route.service.text(), route.path,
+                                exchange.headers.contentType, exchange.body->bytes()});
     request.body = exchange.body->hold();
     request.answer = exchange.answer;
     return request;
@@ -247,7 +247,7 @@
     exchange.answer->setReadableCallback(nullptr);
     const AnswerStream::State state = exchange.answer->state();
     const bool wasEndedByCore
-        = state == AnswerStream::State::Cut || state == AnswerStream::State::Refused;
+        = state == AnswerStream::State::Aborted || state == AnswerStream::State::Refused;
     if (how == MHD_REQUEST_TERMINATED_COMPLETED_OK || wasEndedByCore)
         return;
     exchange.answer->abandon();
--- a/packages/caller/apricothook/caller/internal/apricothook_operator_service.cpp
+++ b/packages/caller/apricothook/caller/internal/apricothook_operator_service.cpp
@@ -73,7 +73,7 @@
     {
         const auto answer = std::make_shared<std::promise<std::string>>();
         std::future<std::string> document = answer->get_future();
-        if (!m_inbox.tryPost(OperatorAsked {question, key, answer}))
+        if (!m_inbox.tryPost(OperatorQuery {question, key, answer}))
             throw jsonrpc::JsonRpcException(CoreBusyCode, "the core is behind");
         if (document.wait_for(CorePatience) != std::future_status::ready)
             throw jsonrpc::JsonRpcException(CoreBusyCode, "the core didn't answer in time");
--- a/packages/caller/tests/apricothook_caller_bounds_tests.cpp
+++ b/packages/caller/tests/apricothook_caller_bounds_tests.cpp
@@ -192,7 +192,7 @@
     {
         ServerFixture fixture;
         fixture.inbox.answerer = [](const CoreEvent &event) {
-            const auto *asked = std::get_if<OperatorAsked>(&event);
+            const auto *asked = std::get_if<OperatorQuery>(&event);
             if (asked)
                 asked->answer->set_value("{\"key\":\"" + asked->key.text() + "\"}");
             return asked != nullptr;
--- a/packages/caller/tests/apricothook_caller_server_tests.cpp
+++ b/packages/caller/tests/apricothook_caller_server_tests.cpp
@@ -166,7 +166,7 @@
             request->answer->begin(AnswerHead {200, {}});
             request->answer->append("half");
             caller.readUntil("half\r\n");
-            request->answer->cut();
+            request->answer->abort();
             CHECK_FALSE(contains(caller.readAll(), "0\r\n"));
         }
         SUBCASE("with a length: fewer bytes than that")
@@ -174,12 +174,12 @@
             request->answer->begin(AnswerHead {200, {{"Content-Length", "8"}}});
             request->answer->append("half");
             caller.readUntil("half");
-            request->answer->cut();
+            request->answer->abort();
             CHECK(caller.readAll().empty());
         }
         SUBCASE("before the head: a document that says unknown")
         {
-            request->answer->cut();
+            request->answer->abort();
             const std::string answer = caller.readAnswer();
             CHECK(answer.starts_with("HTTP/1.1 502"));
             CHECK(contains(answer, R"("outcome":"unknown")"));
--- a/packages/caller/tests/apricothook_request_sketch_tests.cpp
+++ b/packages/caller/tests/apricothook_request_sketch_tests.cpp
@@ -13,7 +13,8 @@
 
 namespace {
 
-RequestSketch sketchOfBody(std::string_view body, std::string_view contentType = "application/json")
+RequestProfile sketchOfBody(std::string_view body,
+                            std::string_view contentType = "application/json")
 {
     return sketchOf({"POST", "llm", "/v1/completions", contentType, body});
 }
@@ -72,7 +73,7 @@
 {
     TEST_CASE("A completion's sketch has its model, lengths and beginnings")
     {
-        const RequestSketch sketch = sketchOfBody(completion(std::string(2049, 'a')));
+        const RequestProfile sketch = sketchOfBody(completion(std::string(2049, 'a')));
         CHECK(sketch.model == ModelId("m1"));
         CHECK(sketch.promptTokens == 513);
         CHECK(sketch.maximumTokens == 64);
@@ -94,7 +95,7 @@
     TEST_CASE("What isn't a completion counts by its size")
     {
         for (const char *body : {"{\"prompt\":", "[1,2]", R"({"prompt":7})", "plain \"prompt\""}) {
-            const RequestSketch sketch = sketchOfBody(body);
+            const RequestProfile sketch = sketchOfBody(body);
             CHECK(sketch.promptTokens == (std::string_view(body).size() + 3) / 4);
             CHECK(sketch.model.isEmpty());
         }
@@ -144,7 +145,7 @@
             accepted += route.has_value() ? 1 : 0;
             if (route && std::holds_alternative<ServiceRoute>(route.value()))
                 REQUIRE(std::get<ServiceRoute>(route.value()).path.starts_with('/'));
-            const RequestSketch sketch = sketchOfBody(text);
+            const RequestProfile sketch = sketchOfBody(text);
             REQUIRE(sketch.prefixes.size() <= MaximumPrefixes);
             REQUIRE(sketch.promptTokens <= text.size() / 4 + 1);
         }
--- a/packages/configservice/apricothook/configservice/apricothook_core_answer_source.cpp
+++ b/packages/configservice/apricothook/configservice/apricothook_core_answer_source.cpp
@@ -16,7 +16,7 @@
 {
     auto promise = std::make_shared<std::promise<std::shared_ptr<const KeptAnswer>>>();
     auto answer = promise->get_future();
-    if (!m_core.tryPost(KeptAnswerAsked {key, std::move(promise)}))
+    if (!m_core.tryPost(KeptAnswerQuery {key, std::move(promise)}))
         return nullptr;
     if (answer.wait_for(CorePatience) != std::future_status::ready)
         return nullptr;
--- a/packages/configservice/apricothook/configservice/internal/apricothook_answer_fetcher.cpp
+++ b/packages/configservice/apricothook/configservice/internal/apricothook_answer_fetcher.cpp
@@ -24,7 +24,7 @@
     if (put({peer, key, exchange}))
         m_duty.wake();
     else
-        m_surroundings.core.post(KeptAnswerArrived {exchange, nullptr});
+        m_surroundings.core.post(KeptAnswerFetched {exchange, nullptr});
 }
 
 bool AnswerFetcher::put(Wanted wanted)
@@ -53,7 +53,7 @@
         return UntilWoken;
     auto answer = m_client.fetchAnswer(wanted->peer, wanted->key, Patience);
     m_surroundings.core.post(
-        KeptAnswerArrived {wanted->exchange, answer ? std::move(answer.value()) : nullptr});
+        KeptAnswerFetched {wanted->exchange, answer ? std::move(answer.value()) : nullptr});
     return Duration::zero();
 }
 
--- a/packages/configservice/apricothook/configservice/internal/apricothook_answer_fetcher.hpp
+++ b/packages/configservice/apricothook/configservice/internal/apricothook_answer_fetcher.hpp
@@ -11,7 +11,7 @@
 
 namespace Apricothook {
 
-/** Fetches kept answers from members, one at a time; each ends in KeptAnswerArrived. */
+/** Fetches kept answers from members, one at a time; each ends in KeptAnswerFetched. */
 class AnswerFetcher
 {
 public:
--- a/packages/configservice/apricothook/configservice/internal/apricothook_text_delivery.cpp
+++ b/packages/configservice/apricothook/configservice/internal/apricothook_text_delivery.cpp
@@ -19,8 +19,8 @@
     }
     auto configuration = std::make_shared<const Configuration>(
         Configuration {generation, textHash, std::move(checked.value())});
-    core.post(ConfigurationArrived {std::move(configuration),
-                                    std::make_shared<const std::string>(std::move(text))});
+    core.post(ConfigurationReceived {std::move(configuration),
+                                     std::make_shared<const std::string>(std::move(text))});
 }
 
 } // namespace Apricothook
--- a/packages/configservice/apricothook/configservice/internal/apricothook_vm_watch.cpp
+++ b/packages/configservice/apricothook/configservice/internal/apricothook_vm_watch.cpp
@@ -56,7 +56,8 @@
     }
     // A list that the full core didn't take is given again at the next read.
     const std::uint64_t revision = list->revision;
-    if (revision > m_givenRevision && m_surroundings.core.tryPost(VmsArrived {std::move(*list)}))
+    if (revision > m_givenRevision
+        && m_surroundings.core.tryPost(VmListReceived {std::move(*list)}))
         m_givenRevision = revision;
     return true;
 }
--- a/packages/configservice/tests/apricothook_platform_client_tests.cpp
+++ b/packages/configservice/tests/apricothook_platform_client_tests.cpp
@@ -48,13 +48,13 @@
     platform.publishText(3, "good");
     TestClient test(platform.endpoint(), quick());
     test.client.setWatching(true, Generation(2));
-    const auto arrived = test.core.wait<ConfigurationArrived>();
+    const auto arrived = test.core.wait<ConfigurationReceived>();
     REQUIRE(arrived);
     CHECK(arrived->configuration->generation == Generation(3));
     CHECK(arrived->configuration->textHash == hashOf("good"));
     CHECK(*arrived->text == "good");
     REQUIRE(test.core.wait<PlatformReachability>());
-    CHECK(std::holds_alternative<ConfigurationArrived>(CoreEvent(*arrived)));
+    CHECK(std::holds_alternative<ConfigurationReceived>(CoreEvent(*arrived)));
     CHECK(test.core.kinds().at(0) == CoreEvent(*arrived).index());
 
     platform.publishText(4, "bad");
@@ -63,7 +63,7 @@
     CHECK(rejected->generation == Generation(4));
     CHECK(rejected->errors == 1);
     platform.publishText(5, "better");
-    REQUIRE(test.core.wait<ConfigurationArrived>(2));
+    REQUIRE(test.core.wait<ConfigurationReceived>(2));
     CHECK(test.core.all<ConfigurationRejected>().size() == 1);
 }
 
@@ -90,7 +90,7 @@
     test.client.setWatching(true, Generation(5));
     REQUIRE(test.core.wait<PlatformReachability>(3));
     test.client.stop();
-    CHECK(test.core.all<ConfigurationArrived>().empty());
+    CHECK(test.core.all<ConfigurationReceived>().empty());
     CHECK(test.events.count(expected) >= 3);
     CHECK(platform.configReads <= 8);
 }
@@ -113,12 +113,12 @@
         R"({"revision":4,"vms":[{"id":"a","state":"live"},{"id":"b","state":"leaving"}]})");
     TestClient test(platform.endpoint(), quick());
     test.client.setWatching(true, Generation());
-    const auto first = test.core.wait<VmsArrived>();
+    const auto first = test.core.wait<VmListReceived>();
     REQUIRE(first);
     CHECK(first->list == VmList {4, {VmId("b")}});
     platform.publishVms(R"({"revision":3,"vms":[]})");
     platform.publishVms(R"({"revision":5,"vms":[]})");
-    const auto second = test.core.wait<VmsArrived>(2);
+    const auto second = test.core.wait<VmListReceived>(2);
     REQUIRE(second);
     CHECK(second->list == VmList {5, {}});
 }
@@ -132,7 +132,7 @@
     holder.shelf.put(Generation(8), hashOf(bad), std::make_shared<const std::string>(bad));
     TestClient test(freeEndpoint());
     test.client.fetchText(holder.endpoint, Generation(7), hashOf(good));
-    const auto arrived = test.core.wait<ConfigurationArrived>();
+    const auto arrived = test.core.wait<ConfigurationReceived>();
     REQUIRE(arrived);
     CHECK(*arrived->text == good);
     test.client.offerText(Generation(7), hashOf(good), arrived->text);
@@ -149,8 +149,8 @@
     const Endpoint gone = freeEndpoint();
     for (std::uint64_t exchange = 1; exchange <= 100; ++exchange)
         test.client.fetchAnswer(gone, RequestKey("k"), ExchangeId(exchange));
-    REQUIRE(test.core.wait<KeptAnswerArrived>(100));
-    for (const KeptAnswerArrived &arrived : test.core.all<KeptAnswerArrived>())
+    REQUIRE(test.core.wait<KeptAnswerFetched>(100));
+    for (const KeptAnswerFetched &arrived : test.core.all<KeptAnswerFetched>())
         CHECK(arrived.answer == nullptr);
 }
 
@@ -159,7 +159,7 @@
     RecordingInbox core;
     CoreAnswerSource source(core);
     CHECK(source.keptAnswer(RequestKey("k")) == nullptr);
-    CHECK(core.all<KeptAnswerAsked>().size() == 1);
+    CHECK(core.all<KeptAnswerQuery>().size() == 1);
 }
 
 TEST_CASE("The reads of a fleet's watchers are bounded, also when the platform comes back")
--- a/packages/configuration/apricothook/configuration/apricothook_configuration_keeper.cpp
+++ b/packages/configuration/apricothook/configuration/apricothook_configuration_keeper.cpp
@@ -52,7 +52,7 @@
     chooseWatching(out);
 }
 
-void ConfigurationKeeper::arrived(const ConfigurationArrived &candidate, Instant now,
+void ConfigurationKeeper::arrived(const ConfigurationReceived &candidate, Instant now,
                                   ConfigurationOutput &out)
 {
     const TextName text = nameOf(*candidate.configuration);
--- a/packages/configuration/apricothook/configuration/apricothook_configuration_keeper.hpp
+++ b/packages/configuration/apricothook/configuration/apricothook_configuration_keeper.hpp
@@ -44,7 +44,7 @@
     void tick(Instant now, ConfigurationOutput &out);
 
     // ---- From the platform's thread.
-    void arrived(const ConfigurationArrived &candidate, Instant now, ConfigurationOutput &out);
+    void arrived(const ConfigurationReceived &candidate, Instant now, ConfigurationOutput &out);
     void rejected(const ConfigurationRejected &candidate, Instant now, ConfigurationOutput &out);
     void vmsArrived(const VmList &list, ConfigurationOutput &out);
     void platformReachability(const PlatformReachability &news, Instant now,
--- a/packages/configuration/tests/apricothook_test_fleet.hpp
+++ b/packages/configuration/tests/apricothook_test_fleet.hpp
@@ -68,7 +68,7 @@
     MemberInstance m_self;
 };
 
-inline ConfigurationArrived textOf(std::uint64_t generation, std::uint64_t hash = 0)
+inline ConfigurationReceived textOf(std::uint64_t generation, std::uint64_t hash = 0)
 {
     auto configuration = std::make_shared<Configuration>();
     configuration->generation = Generation(generation);
@@ -112,7 +112,7 @@
                        seeds, at(0));
     }
     MemberUpdate member(const std::string &name) const { return *members.find(MemberId(name)); }
-    void platformGives(const ConfigurationArrived &text, double seconds)
+    void platformGives(const ConfigurationReceived &text, double seconds)
     {
         keeper->arrived(text, at(seconds), out);
         keeper->platformReachability({true}, at(seconds), out);
--- a/packages/core/apricothook/core/internal/apricothook_core_turn.hpp
+++ b/packages/core/apricothook/core/internal/apricothook_core_turn.hpp
@@ -37,13 +37,13 @@
     void take(const LoadReport &report, Instant now);
     void take(const CacheEvents &events, Instant now);
     void take(const PeerMessageReceived &arrived, Instant now);
-    void take(const ConfigurationArrived &arrived, Instant now);
+    void take(const ConfigurationReceived &arrived, Instant now);
     void take(const ConfigurationRejected &rejected, Instant now);
-    void take(const VmsArrived &arrived, Instant now);
+    void take(const VmListReceived &arrived, Instant now);
     void take(const PlatformReachability &news, Instant now);
-    void take(const KeptAnswerArrived &arrived, Instant now);
-    void take(const OperatorAsked &asked, Instant now);
-    void take(const KeptAnswerAsked &asked, Instant now);
+    void take(const KeptAnswerFetched &arrived, Instant now);
+    void take(const OperatorQuery &asked, Instant now);
+    void take(const KeptAnswerQuery &asked, Instant now);
     void take(const StopRequested &stop, Instant now);
 
     Duration lookupKeep() const;
--- a/packages/core/apricothook/core/internal/apricothook_core_turn_events.cpp
+++ b/packages/core/apricothook/core/internal/apricothook_core_turn_events.cpp
@@ -74,7 +74,7 @@
     m_dispatcher.dispatch(arrived, now, m_results);
 }
 
-void CoreTurn::take(const ConfigurationArrived &arrived, Instant now)
+void CoreTurn::take(const ConfigurationReceived &arrived, Instant now)
 {
     m_parts.keeper.arrived(arrived, now, m_results.configuration);
 }
@@ -84,7 +84,7 @@
     m_parts.keeper.rejected(rejected, now, m_results.configuration);
 }
 
-void CoreTurn::take(const VmsArrived &arrived, Instant)
+void CoreTurn::take(const VmListReceived &arrived, Instant)
 {
     m_parts.keeper.vmsArrived(arrived.list, m_results.configuration);
 }
@@ -94,19 +94,19 @@
     m_parts.keeper.platformReachability(news, now, m_results.configuration);
 }
 
-void CoreTurn::take(const KeptAnswerArrived &arrived, Instant now)
+void CoreTurn::take(const KeptAnswerFetched &arrived, Instant now)
 {
     m_parts.flow.handle(arrived, now);
 }
 
-void CoreTurn::take(const OperatorAsked &asked, Instant now)
+void CoreTurn::take(const OperatorQuery &asked, Instant now)
 {
     asked.answer->set_value(asked.question == OperatorQuestion::Status
                                 ? statusDocument(m_parts, now)
                                 : explainDocument(m_parts.events, asked.key));
 }
 
-void CoreTurn::take(const KeptAnswerAsked &asked, Instant now)
+void CoreTurn::take(const KeptAnswerQuery &asked, Instant now)
 {
     asked.answer->set_value(m_parts.answers.find(asked.key, now));
 }
--- a/packages/core/apricothook/core/internal/apricothook_entry_router.cpp
+++ b/packages/core/apricothook/core/internal/apricothook_entry_router.cpp
@@ -2,7 +2,7 @@
 
 namespace Apricothook {
 
-std::vector<ShardId> EntryRouter::shardsFor(const ServiceId &service, const RequestSketch &sketch,
+std::vector<ShardId> EntryRouter::shardsFor(const ServiceId &service, const RequestProfile &sketch,
                                             Instant now)
 {
     const ShardMap *map = m_steward.shardMap();
--- a/packages/core/apricothook/core/internal/apricothook_entry_router.hpp
+++ b/packages/core/apricothook/core/internal/apricothook_entry_router.hpp
@@ -17,7 +17,7 @@
     {
     }
 
-    std::vector<ShardId> shardsFor(const ServiceId &service, const RequestSketch &sketch,
+    std::vector<ShardId> shardsFor(const ServiceId &service, const RequestProfile &sketch,
                                    Instant now) override;
     std::vector<ShardId> shards() const override;
     MemberId stewardOf(const ShardId &shard) override;
--- a/packages/core/tests/apricothook_fake_targets.cpp
+++ b/packages/core/tests/apricothook_fake_targets.cpp
@@ -12,7 +12,7 @@
 void writeUpTo(AnswerStream &stream, const std::string &answer, std::size_t end)
 {
     stream.begin({200, {}});
-    const std::size_t written = stream.written();
+    const std::size_t written = stream.bytesWritten();
     if (end > written)
         stream.append(answer.substr(written, end - written));
 }
@@ -42,8 +42,8 @@
     if (now >= reader.order.notAfter)
         end(reader, RunEnd::Cancelled, true);
     else if (mode == TargetMode::Unreachable)
-        end(reader, RunEnd::ConnectFailed, !reader.order.resumesOnly);
-    else if (reader.order.resumesOnly)
+        end(reader, RunEnd::ConnectFailed, !reader.order.resumeOnly);
+    else if (reader.order.resumeOnly)
         resume(reader);
     else if (mode == TargetMode::Refuses)
         end(reader, RunEnd::Refused, true);
--- a/packages/core/tests/apricothook_fault_bench.cpp
+++ b/packages/core/tests/apricothook_fault_bench.cpp
@@ -66,8 +66,8 @@
     if (holder && bench->isLinked(daemon, *holder) && generation <= bench->published())
         (bench->holdsFetches ? bench->m_heldFetches : bench->m_events)
             .push_back({daemon, bench->m_daemons[daemon].life,
-                        ConfigurationArrived {bench->m_texts[generation.value() - 1],
-                                              std::make_shared<std::string>()}});
+                        ConfigurationReceived {bench->m_texts[generation.value() - 1],
+                                               std::make_shared<std::string>()}});
 }
 
 void BenchPorts::fetchAnswer(const Endpoint &peer, const RequestKey &key, ExchangeId exchange)
@@ -81,7 +81,7 @@
         });
     else
         to.m_events.push_back(
-            {reader, to.m_daemons[reader].life, KeptAnswerArrived {exchange, {}}});
+            {reader, to.m_daemons[reader].life, KeptAnswerFetched {exchange, {}}});
 }
 
 void BenchPorts::ended(const RequestSummary &summary)
@@ -235,7 +235,7 @@
 {
     const auto answer = std::make_shared<AnswerStream>();
     core(home).handle(EntriesLookup {answer}, m_now);
-    std::string document(answer->written(), ' ');
+    std::string document(answer->bytesWritten(), ' ');
     answer->read(document.data(), document.size());
     const std::string name = "\"ticket\":\"";
     const std::size_t begin = document.find(name) + name.size();
--- a/packages/core/tests/apricothook_fault_bench_calls.cpp
+++ b/packages/core/tests/apricothook_fault_bench_calls.cpp
@@ -39,8 +39,8 @@
     request.requestClass = ClassId(requestClass);
     request.key = RequestKey(key);
     request.body = std::make_shared<const std::string>(body);
-    request.sketch.promptTokens = 10;
-    request.sketch.fingerprint = Fingerprint(hashOf(body));
+    request.profile.promptTokens = 10;
+    request.profile.fingerprint = Fingerprint(hashOf(body));
     request.answer = call.answer;
     m_calls.push_back(call);
     if (isAlive(daemon))
@@ -66,7 +66,7 @@
     switch (call.answer->state()) {
     case AnswerStream::State::Finished:
         return CallEnd::Answered;
-    case AnswerStream::State::Cut:
+    case AnswerStream::State::Aborted:
         return CallEnd::Cut;
     case AnswerStream::State::Refused:
         return call.answer->refusal()->outcome == Outcome::NotRun ? CallEnd::NotRun
@@ -98,7 +98,7 @@
 
 void FaultBench::giveText(std::size_t daemon)
 {
-    give(daemon, ConfigurationArrived {m_texts.back(), std::make_shared<std::string>()});
+    give(daemon, ConfigurationReceived {m_texts.back(), std::make_shared<std::string>()});
     settle();
 }
 
@@ -107,7 +107,7 @@
     m_vms = {m_vms.revision + 1, vms};
     for (std::size_t i = 0; i < m_daemons.size(); ++i) {
         if (m_daemons[i].core && m_daemons[i].isWatching && isPlatformUp)
-            give(i, VmsArrived {m_vms});
+            give(i, VmListReceived {m_vms});
     }
     settle();
 }
@@ -118,7 +118,7 @@
     if (isPlatformUp && newest > after) {
         m_daemons[daemon].seen = newest;
         give(daemon,
-             ConfigurationArrived {m_texts[newest.value() - 1], std::make_shared<std::string>()});
+             ConfigurationReceived {m_texts[newest.value() - 1], std::make_shared<std::string>()});
     }
     give(daemon, PlatformReachability {isPlatformUp});
 }
@@ -136,7 +136,7 @@
 void FaultBench::fetchAnswer(std::size_t reader, std::size_t holder, const RequestKey &key,
                              ExchangeId exchange)
 {
-    KeptAnswerAsked asked {key,
+    KeptAnswerQuery asked {key,
                            std::make_shared<std::promise<std::shared_ptr<const KeptAnswer>>>()};
     std::shared_ptr<const KeptAnswer> kept;
     if (m_daemons[holder].core && !m_daemons[holder].isPaused) {
@@ -144,7 +144,7 @@
         core(holder).handle(asked, m_now);
         kept = answer.get();
     }
-    give(reader, KeptAnswerArrived {exchange, kept});
+    give(reader, KeptAnswerFetched {exchange, kept});
 }
 
 // ---- Promises.
--- a/packages/ports/apricothook/ports/apricothook_answer_stream.cpp
+++ b/packages/ports/apricothook/ports/apricothook_answer_stream.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-void call(const std::function<void()> &callback)
+void invokeIfSet(const std::function<void()> &callback)
 {
     if (callback)
         callback();
@@ -17,7 +17,7 @@
 
 bool AnswerStream::begin(AnswerHead head)
 {
-    std::function<void()> wake;
+    std::function<void()> notify;
     {
         const std::lock_guard lock(m_mutex);
         if (m_state != State::Waiting)
@@ -25,34 +25,34 @@
         m_head = std::move(head);
         m_state = State::Open;
         m_isRetaining = m_retainLimit > 0;
-        wake = m_onReadable;
+        notify = m_onReadable;
     }
-    call(wake);
+    invokeIfSet(notify);
     return true;
 }
 
 bool AnswerStream::append(std::string_view bytes)
 {
-    std::function<void()> wake;
-    bool hasRoom = true;
+    std::function<void()> notify;
+    bool hasCapacity = true;
     {
         const std::lock_guard lock(m_mutex);
         if (m_state != State::Open)
             return true;
-        m_written += bytes.size();
-        m_isRetaining = m_isRetaining && m_written <= m_retainLimit;
+        m_bytesWritten += bytes.size();
+        m_isRetaining = m_isRetaining && m_bytesWritten <= m_retainLimit;
         if (m_isRetaining)
             m_retained.append(bytes);
         else
             m_retained = std::string();
         if (!m_isAbandoned)
             m_buffer.append(bytes);
-        hasRoom = m_buffer.size() - m_taken < Capacity;
-        m_isPaused = !hasRoom;
-        wake = m_onReadable;
+        hasCapacity = m_buffer.size() - m_readOffset < Capacity;
+        m_isPaused = !hasCapacity;
+        notify = m_onReadable;
     }
-    call(wake);
-    return hasRoom;
+    invokeIfSet(notify);
+    return hasCapacity;
 }
 
 void AnswerStream::finish()
@@ -60,9 +60,9 @@
     end(State::Finished);
 }
 
-void AnswerStream::cut()
+void AnswerStream::abort()
 {
-    end(State::Cut);
+    end(State::Aborted);
 }
 
 void AnswerStream::refuse(const Refusal &refusal)
@@ -74,7 +74,7 @@
         if (!isTooLate)
             m_refusal = refusal;
     }
-    end(isTooLate ? State::Cut : State::Refused);
+    end(isTooLate ? State::Aborted : State::Refused);
 }
 
 void AnswerStream::retain(std::size_t limit)
@@ -97,10 +97,10 @@
     return m_isAbandoned;
 }
 
-void AnswerStream::setRoomCallback(std::function<void()> callback)
+void AnswerStream::setWritableCallback(std::function<void()> callback)
 {
     const std::lock_guard lock(m_mutex);
-    m_onRoom = std::move(callback);
+    m_onWritable = std::move(callback);
 }
 
 AnswerStream::State AnswerStream::state() const
@@ -125,50 +125,50 @@
 
 std::size_t AnswerStream::read(char *to, std::size_t size)
 {
-    std::function<void()> wake;
+    std::function<void()> notify;
     std::size_t count = 0;
     {
         const std::lock_guard lock(m_mutex);
-        count = std::min(size, m_buffer.size() - m_taken);
-        std::memcpy(to, m_buffer.data() + m_taken, count);
-        m_taken += count;
-        if (m_taken == m_buffer.size()) {
+        count = std::min(size, m_buffer.size() - m_readOffset);
+        std::memcpy(to, m_buffer.data() + m_readOffset, count);
+        m_readOffset += count;
+        if (m_readOffset == m_buffer.size()) {
             m_buffer.clear();
-            m_taken = 0;
-        } else if (m_taken >= Capacity) {
-            m_buffer.erase(0, m_taken);
-            m_taken = 0;
+            m_readOffset = 0;
+        } else if (m_readOffset >= Capacity) {
+            m_buffer.erase(0, m_readOffset);
+            m_readOffset = 0;
         }
         // The writer resumes when the buffer is half empty. Waking it earlier would make it
         // pause and resume with every read of a slow reader.
-        if (m_isPaused && m_buffer.size() - m_taken <= Capacity / 2) {
+        if (m_isPaused && m_buffer.size() - m_readOffset <= Capacity / 2) {
             m_isPaused = false;
-            wake = m_onRoom;
+            notify = m_onWritable;
         }
     }
-    call(wake);
+    invokeIfSet(notify);
     return count;
 }
 
 bool AnswerStream::isReadable() const
 {
     const std::lock_guard lock(m_mutex);
-    return m_taken < m_buffer.size() || hasEnded();
+    return m_readOffset < m_buffer.size() || hasEnded();
 }
 
 void AnswerStream::abandon()
 {
-    std::function<void()> wake;
+    std::function<void()> notify;
     {
         const std::lock_guard lock(m_mutex);
         m_isAbandoned = true;
         m_buffer.clear();
-        m_taken = 0;
+        m_readOffset = 0;
         m_isPaused = false;
-        wake = m_onRoom;
+        notify = m_onWritable;
         m_onReadable = nullptr;
     }
-    call(wake);
+    invokeIfSet(notify);
 }
 
 void AnswerStream::setReadableCallback(std::function<void()> callback)
@@ -189,10 +189,10 @@
     return m_key;
 }
 
-std::size_t AnswerStream::written() const
+std::size_t AnswerStream::bytesWritten() const
 {
     const std::lock_guard lock(m_mutex);
-    return m_written;
+    return m_bytesWritten;
 }
 
 bool AnswerStream::hasEnded() const
@@ -202,15 +202,15 @@
 
 void AnswerStream::end(State state)
 {
-    std::function<void()> wake;
+    std::function<void()> notify;
     {
         const std::lock_guard lock(m_mutex);
         if (hasEnded())
             return;
         m_state = state;
-        wake = m_onReadable;
+        notify = m_onReadable;
     }
-    call(wake);
+    invokeIfSet(notify);
 }
 
 } // namespace Apricothook
--- a/packages/ports/apricothook/ports/apricothook_answer_stream.hpp
+++ b/packages/ports/apricothook/ports/apricothook_answer_stream.hpp
@@ -42,7 +42,7 @@
  * another thread. Buffers at most `Capacity` unread bytes, so that a slow caller throttles its
  * target instead of filling the memory.
  *
- * The first call of refuse(), finish() or cut() ends the stream; later calls are ignored.
+ * The first call of refuse(), finish() or abort() ends the stream; later calls are ignored.
  * Callbacks run in the other side's thread, without the lock, and may only wake their own thread.
  */
 class AnswerStream
@@ -54,17 +54,17 @@
         Open,     ///< The head has been written; the body may be incomplete.
         Finished, ///< The complete answer has been written.
         Refused,
-        Cut, ///< The answer can't be completed; the caller must get a truncated answer.
+        Aborted, ///< The answer can't be completed; the caller must get a truncated answer.
     };
 
     // ---- Writer.
 
     /** Writes the head. False if one was written before or the stream has ended. */
     bool begin(AnswerHead head);
-    /** Buffers all bytes. False if the writer should pause until the room callback. */
+    /** Buffers all bytes. False if the writer should pause until the writable callback. */
     bool append(std::string_view bytes);
     void finish();
-    void cut();
+    void abort();
     /** Refuses if no head was written; aborts otherwise, as the status was already sent. */
     void refuse(const Refusal &refusal);
     /** Retains a copy of the answer up to `limit` bytes. Must be called before begin(). */
@@ -73,7 +73,7 @@
     std::shared_ptr<const KeptAnswer> retained() const;
     /** Whether the reader has abandoned the answer; the writer should then cancel its work. */
     bool isAbandoned() const;
-    void setRoomCallback(std::function<void()> callback);
+    void setWritableCallback(std::function<void()> callback);
 
     // ---- Reader.
 
@@ -93,7 +93,7 @@
     void setKey(const RequestKey &key);
     RequestKey key() const;
     /** Body bytes written so far: the offset at which a broken stream is resumed. */
-    std::size_t written() const;
+    std::size_t bytesWritten() const;
 
 private:
     bool hasEnded() const;
@@ -104,8 +104,8 @@
     AnswerHead m_head;
     std::optional<Refusal> m_refusal;
     std::string m_buffer;
-    std::size_t m_taken = 0;
-    std::size_t m_written = 0;
+    std::size_t m_readOffset = 0;
+    std::size_t m_bytesWritten = 0;
     bool m_isAbandoned = false;
     bool m_isPaused = false;
     std::size_t m_retainLimit = 0;
@@ -113,7 +113,7 @@
     std::string m_retained;
     RequestKey m_key;
     std::function<void()> m_onReadable;
-    std::function<void()> m_onRoom;
+    std::function<void()> m_onWritable;
 };
 
 } // namespace Apricothook
--- a/packages/ports/apricothook/ports/apricothook_bounded_queue.hpp
+++ b/packages/ports/apricothook/ports/apricothook_bounded_queue.hpp
@@ -52,12 +52,12 @@
 
     std::optional<T> tryPop() { return pop(Duration::zero()); }
 
-    /** Waits up to `patience` for a value; nullopt if none was pushed or if the queue is closed. */
-    std::optional<T> pop(Duration patience)
+    /** Waits up to `timeout` for a value; nullopt on timeout or if the queue is closed. */
+    std::optional<T> pop(Duration timeout)
     {
         ACE_Time_Value until = ACE_OS::gettimeofday();
-        until += ACE_Time_Value(patience.count() / MicrosecondsPerSecond,
-                                patience.count() % MicrosecondsPerSecond);
+        until += ACE_Time_Value(timeout.count() / MicrosecondsPerSecond,
+                                timeout.count() % MicrosecondsPerSecond);
         T *taken = nullptr;
         if (m_queue.dequeue_head(taken, &until) < 0)
             return std::nullopt;
--- a/packages/ports/apricothook/ports/apricothook_caller_event.hpp
+++ b/packages/ports/apricothook/ports/apricothook_caller_event.hpp
@@ -12,7 +12,7 @@
 namespace Apricothook {
 
 /** Properties of a request body that scheduling needs; the body isn't parsed again. */
-struct RequestSketch
+struct RequestProfile
 {
     ModelId model;
     std::uint32_t promptTokens = 0;
@@ -21,7 +21,7 @@
     std::vector<PrefixHash> prefixes;
     /** Fingerprint of method, path and body. */
     Fingerprint fingerprint;
-    auto operator<=>(const RequestSketch &) const = default;
+    auto operator<=>(const RequestProfile &) const = default;
 };
 
 /** A complete, well-formed request for a service; not yet authorised. */
@@ -42,7 +42,7 @@
     /** From "Prefer: wait=SECONDS"; shortens the patience of the class. */
     std::optional<Duration> wait;
     std::shared_ptr<const std::string> body;
-    RequestSketch sketch;
+    RequestProfile profile;
     std::shared_ptr<AnswerStream> answer;
 };
 
--- a/packages/ports/apricothook/ports/apricothook_core_event.hpp
+++ b/packages/ports/apricothook/ports/apricothook_core_event.hpp
@@ -21,7 +21,7 @@
 };
 
 /** A valid fleet text was received from the platform or a peer. */
-struct ConfigurationArrived
+struct ConfigurationReceived
 {
     std::shared_ptr<const Configuration> configuration;
     /** The text as received, so that peers get identical bytes. */
@@ -38,7 +38,7 @@
 };
 
 /** The platform's list of leaving VMs was received. */
-struct VmsArrived
+struct VmListReceived
 {
     VmList list;
 };
@@ -50,7 +50,7 @@
 };
 
 /** Fetching a kept answer from another daemon has ended; `answer` is null on failure. */
-struct KeptAnswerArrived
+struct KeptAnswerFetched
 {
     ExchangeId exchange;
     std::shared_ptr<const KeptAnswer> answer;
@@ -59,7 +59,7 @@
 enum class OperatorQuestion { Status, Explain };
 
 /** A query of the operators' command line; answered with a JSON document. */
-struct OperatorAsked
+struct OperatorQuery
 {
     OperatorQuestion question = OperatorQuestion::Status;
     RequestKey key;
@@ -67,7 +67,7 @@
 };
 
 /** Another daemon asks for an answer that this one may keep; answered with null if not. */
-struct KeptAnswerAsked
+struct KeptAnswerQuery
 {
     RequestKey key;
     std::shared_ptr<std::promise<std::shared_ptr<const KeptAnswer>>> answer;
@@ -78,10 +78,10 @@
 {
 };
 
-using CoreEvent
-    = std::variant<CallerRequest, CallerGone, KeyLookup, EntriesLookup, DispatchStarted,
-                   DispatchEnded, EngineOrderEnded, LoadReport, CacheEvents, PeerMessageReceived,
-                   ConfigurationArrived, ConfigurationRejected, VmsArrived, PlatformReachability,
-                   KeptAnswerArrived, OperatorAsked, KeptAnswerAsked, StopRequested>;
+using CoreEvent = std::variant<CallerRequest, CallerGone, KeyLookup, EntriesLookup, DispatchStarted,
+                               DispatchEnded, EngineOrderEnded, LoadReport, CacheEvents,
+                               PeerMessageReceived, ConfigurationReceived, ConfigurationRejected,
+                               VmListReceived, PlatformReachability, KeptAnswerFetched,
+                               OperatorQuery, KeptAnswerQuery, StopRequested>;
 
 } // namespace Apricothook
--- a/packages/ports/apricothook/ports/apricothook_core_ports.hpp
+++ b/packages/ports/apricothook/ports/apricothook_core_ports.hpp
@@ -39,7 +39,7 @@
     virtual void readOnce(Generation after) = 0;
     /** Fetches a fleet text from a peer that has applied it. */
     virtual void fetchText(const Endpoint &peer, Generation generation, std::uint64_t textHash) = 0;
-    /** Fetches a kept answer from its holder; the result is posted as KeptAnswerArrived. */
+    /** Fetches a kept answer from its holder; the result is posted as KeptAnswerFetched. */
     virtual void fetchAnswer(const Endpoint &peer, const RequestKey &key, ExchangeId exchange) = 0;
     /** Sets the fleet text that peers can fetch. */
     virtual void offerText(Generation generation, std::uint64_t textHash,
--- a/packages/ports/apricothook/ports/apricothook_target_order.hpp
+++ b/packages/ports/apricothook/ports/apricothook_target_order.hpp
@@ -44,8 +44,8 @@
     Instant notAfter {};
     DispatchDeadlines deadlines;
     std::shared_ptr<AnswerStream> answer;
-    /** Whether only the stream of an earlier run is fetched, from `answer->written()` on. */
-    bool resumesOnly = false;
+    /** Whether only the stream of an earlier run is fetched, from `answer->bytesWritten()` on. */
+    bool resumeOnly = false;
 };
 
 /** Ends a dispatch and cancels the work at the engine if possible. */
--- a/packages/ports/tests/apricothook_answer_stream_tests.cpp
+++ b/packages/ports/tests/apricothook_answer_stream_tests.cpp
@@ -44,14 +44,14 @@
     AnswerStream stream;
     stream.begin(AnswerHead {200, {}});
     stream.refuse(Refusal {RefusalReason::TargetFailed, Outcome::Unknown, {}});
-    CHECK(stream.state() == AnswerStream::State::Cut);
+    CHECK(stream.state() == AnswerStream::State::Aborted);
 }
 
 TEST_CASE("A slow reader pauses the writer and resumes it when the buffer is half empty")
 {
     AnswerStream stream;
     int wakeups = 0;
-    stream.setRoomCallback([&wakeups] { ++wakeups; });
+    stream.setWritableCallback([&wakeups] { ++wakeups; });
     stream.begin(AnswerHead {200, {}});
     CHECK_FALSE(stream.append(std::string(AnswerStream::Capacity, 'x')));
     std::array<char, AnswerStream::Capacity / 4> bytes;
--- a/packages/requests/apricothook/requests/apricothook_request_flow.cpp
+++ b/packages/requests/apricothook/requests/apricothook_request_flow.cpp
@@ -69,7 +69,7 @@
 void RequestFlow::start(RequestLife &exchange, Instant now, Outbox &out)
 {
     AdmissionGate &gate = m_context.ports.gate;
-    if (gate.isQuarantined(exchange.request.sketch.fingerprint, now)) {
+    if (gate.isQuarantined(exchange.request.profile.fingerprint, now)) {
         m_earlier.refuse(exchange, {RefusalReason::Quarantined, Outcome::NotRun, {}}, now, out);
         return;
     }
@@ -128,13 +128,13 @@
 void RequestFlow::reserve(RequestLife &exchange, Instant now, Outbox &out)
 {
     const std::vector<TargetId> crashed
-        = m_context.ports.gate.excludedFor(exchange.request.sketch.fingerprint, now);
+        = m_context.ports.gate.excludedFor(exchange.request.profile.fingerprint, now);
     for (const TargetId &target : crashed) {
         if (std::ranges::find(exchange.excluded, target) == exchange.excluded.end())
             exchange.excluded.push_back(target);
     }
     const std::uint32_t tokens
-        = m_output.expected(exchange.requestClass, exchange.request.sketch.maximumTokens);
+        = m_output.expected(exchange.requestClass, exchange.request.profile.maximumTokens);
     advance(exchange, m_reserve.begin(exchange, tokens, now, out), now, out);
 }
 
@@ -248,7 +248,7 @@
     exchange.ended = ended;
     if (!exchange.isTakenOver) {
         const TargetId &target = exchange.reservation->target;
-        m_context.ports.gate.runEnded(exchange.request.sketch.fingerprint, target, ended.end, now,
+        m_context.ports.gate.runEnded(exchange.request.profile.fingerprint, target, ended.end, now,
                                       out);
     }
     if (ended.end != RunEnd::Answered) {
@@ -259,7 +259,7 @@
     m_run.report(exchange, KeyEnd::Answered, now, out);
     if (ended.outputTokens > 0)
         m_output.learn(exchange.requestClass.id, ended.outputTokens,
-                       exchange.request.sketch.maximumTokens);
+                       exchange.request.profile.maximumTokens);
     if (const std::shared_ptr<const KeptAnswer> kept = exchange.request.answer->retained())
         m_context.ports.answers.keep(exchange.key, kept, now);
     m_context.record(RequestsEvent::Answered, exchange,
@@ -337,7 +337,7 @@
     m_earlier.replied(from, reply, now);
 }
 
-void RequestFlow::handle(const KeptAnswerArrived &arrived, Instant now)
+void RequestFlow::handle(const KeptAnswerFetched &arrived, Instant now)
 {
     m_earlier.arrived(arrived, now);
 }
--- a/packages/requests/apricothook/requests/apricothook_request_flow.hpp
+++ b/packages/requests/apricothook/requests/apricothook_request_flow.hpp
@@ -40,7 +40,7 @@
     void handle(const KeyLookup &lookup, Instant now, Outbox &out);
     void handle(const DispatchStarted &started, Instant now);
     void handle(const DispatchEnded &ended, Instant now, Outbox &out);
-    void handle(const KeptAnswerArrived &arrived, Instant now);
+    void handle(const KeptAnswerFetched &arrived, Instant now);
     void handle(const MemberId &from, const ReserveReply &reply, Instant now, Outbox &out);
     void handle(const MemberId &from, const GrantReply &reply, Instant now, Outbox &out);
     void handle(const MemberId &from, const KeyQueryReply &reply, Instant now, Outbox &out);
--- a/packages/requests/apricothook/requests/apricothook_shard_router.hpp
+++ b/packages/requests/apricothook/requests/apricothook_shard_router.hpp
@@ -13,7 +13,7 @@
 public:
     virtual ~ShardRouter() = default;
     /** Shards to ask, the best first; a few even where there are many. Empty: no target. */
-    virtual std::vector<ShardId> shardsFor(const ServiceId &service, const RequestSketch &sketch,
+    virtual std::vector<ShardId> shardsFor(const ServiceId &service, const RequestProfile &sketch,
                                            Instant now)
         = 0;
     /** All shards of the text in force. */
--- a/packages/requests/apricothook/requests/internal/apricothook_earlier_run.cpp
+++ b/packages/requests/apricothook/requests/internal/apricothook_earlier_run.cpp
@@ -194,7 +194,7 @@
 void EarlierRun::askWitnesses(RequestLife &exchange, Instant now, Outbox &out)
 {
     const HintQuery query {exchange.request.exchange.value(), exchange.key,
-                           exchange.request.sketch.fingerprint};
+                           exchange.request.profile.fingerprint};
     for (const HomeAnswer &witness : exchange.homes) {
         if (!witness.isAnswered)
             out.push_back({witness.home, query});
@@ -259,7 +259,7 @@
     m_book.erase(exchange);
 }
 
-void EarlierRun::arrived(const KeptAnswerArrived &arrived, Instant now)
+void EarlierRun::arrived(const KeptAnswerFetched &arrived, Instant now)
 {
     RequestLife *exchange = m_book.find(arrived.exchange);
     if (exchange == nullptr)
--- a/packages/requests/apricothook/requests/internal/apricothook_earlier_run.hpp
+++ b/packages/requests/apricothook/requests/internal/apricothook_earlier_run.hpp
@@ -34,7 +34,7 @@
     /** Refuses; what says "not run" of a caller's key is confirmed by the key's homes first. */
     void refuse(RequestLife &exchange, const Refusal &refusal, Instant now, Outbox &out);
     Next replied(const MemberId &from, const KeyQueryReply &reply, Instant now, Outbox &out);
-    void arrived(const KeptAnswerArrived &arrived, Instant now);
+    void arrived(const KeptAnswerFetched &arrived, Instant now);
     /** No home has answered in time: asks again. */
     void due(RequestLife &exchange, Instant now, Outbox &out);
     /** The home is gone or has forgotten: looks for the run's stream, then tells the truth. */
--- a/packages/requests/apricothook/requests/internal/apricothook_grant_step.cpp
+++ b/packages/requests/apricothook/requests/internal/apricothook_grant_step.cpp
@@ -133,7 +133,7 @@
     request.attempt = m_context.attemptOf(exchange);
     request.key = exchange.key;
     request.customer = exchange.customer;
-    request.fingerprint = exchange.request.sketch.fingerprint;
+    request.fingerprint = exchange.request.profile.fingerprint;
     request.target = exchange.reservation->target;
     request.generation = exchange.configuration->generation;
     // An attempt of the same exchange follows only on one that was proved not to have run.
--- a/packages/requests/apricothook/requests/internal/apricothook_in_flight_reporter.cpp
+++ b/packages/requests/apricothook/requests/internal/apricothook_in_flight_reporter.cpp
@@ -59,11 +59,11 @@
         running.target = exchange.reservation->target;
         running.tier = exchange.requestClass.tier;
         running.customer = exchange.customer;
-        running.model = exchange.request.sketch.model;
+        running.model = exchange.request.profile.model;
         // A steward that knows the request knows its prefixes, and they are most of the bytes.
         if (extent == Extent::Whole)
-            running.prefixes = exchange.request.sketch.prefixes;
-        running.promptTokens = exchange.request.sketch.promptTokens;
+            running.prefixes = exchange.request.profile.prefixes;
+        running.promptTokens = exchange.request.profile.promptTokens;
         running.outputTokens = exchange.outputTokens;
         running.age = now - exchange.arrived;
         report.running.push_back(std::move(running));
--- a/packages/requests/apricothook/requests/internal/apricothook_inquiry_step.cpp
+++ b/packages/requests/apricothook/requests/internal/apricothook_inquiry_step.cpp
@@ -44,7 +44,7 @@
         exchange.homes.push_back({home, false, false});
         out.push_back({home,
                        KeyQuery {sequence, exchange.key, exchange.customer,
-                                 exchange.request.sketch.fingerprint}});
+                                 exchange.request.profile.fingerprint}});
     }
     ++exchange.sends;
     const Instant due = now + resendDelay(exchange.sends);
--- a/packages/requests/apricothook/requests/internal/apricothook_request_summary.cpp
+++ b/packages/requests/apricothook/requests/internal/apricothook_request_summary.cpp
@@ -12,7 +12,7 @@
         && exchange.reservation;
     if (!isWasted)
         return 0;
-    const std::uint32_t prompt = exchange.request.sketch.promptTokens;
+    const std::uint32_t prompt = exchange.request.profile.promptTokens;
     const std::uint32_t cached = exchange.reservation->cachedTokens;
     return prompt > cached ? prompt - cached : 0;
 }
@@ -31,7 +31,7 @@
     summary.isAbandoned = exchange.isAbandoned;
     summary.total = now - exchange.arrived;
     summary.queued = exchange.queued;
-    summary.promptTokens = exchange.request.sketch.promptTokens;
+    summary.promptTokens = exchange.request.profile.promptTokens;
     if (exchange.reservation) {
         summary.target = exchange.reservation->target;
         summary.cachedTokens = exchange.reservation->cachedTokens;
--- a/packages/requests/apricothook/requests/internal/apricothook_reserve_step.cpp
+++ b/packages/requests/apricothook/requests/internal/apricothook_reserve_step.cpp
@@ -39,11 +39,11 @@
     request.shard = shardOf(exchange);
     request.tier = exchange.requestClass.tier;
     request.customer = exchange.customer;
-    request.model = exchange.request.sketch.model;
-    request.promptTokens = exchange.request.sketch.promptTokens;
+    request.model = exchange.request.profile.model;
+    request.promptTokens = exchange.request.profile.promptTokens;
     request.outputTokens = exchange.outputTokens;
     request.patienceLeft = exchange.deadline - now;
-    request.prefixes = exchange.request.sketch.prefixes;
+    request.prefixes = exchange.request.profile.prefixes;
     request.excluded = exchange.excluded;
     request.isLastResort = exchange.isLastResort;
     return request;
@@ -79,7 +79,7 @@
     exchange.outputTokens = outputTokens;
     exchange.reservation.reset();
     exchange.shards
-        = m_context.ports.router.shardsFor(exchange.request.service, exchange.request.sketch, now);
+        = m_context.ports.router.shardsFor(exchange.request.service, exchange.request.profile, now);
     exchange.sends = 0;
     exchange.isQueued = false;
     exchange.isShardGone = false;
--- a/packages/requests/apricothook/requests/internal/apricothook_run_step.cpp
+++ b/packages/requests/apricothook/requests/internal/apricothook_run_step.cpp
@@ -45,7 +45,7 @@
     dispatchOrder.notAfter = notAfter;
     if (!order(exchange, std::move(dispatchOrder), now))
         return false;
-    m_context.ports.gate.runStarted(exchange.request.sketch.fingerprint, target.id, now);
+    m_context.ports.gate.runStarted(exchange.request.profile.fingerprint, target.id, now);
     m_context.record(RequestsEvent::Dispatched, exchange,
                      "target=" + target.id.text() + " attempt=" + std::to_string(exchange.attempt));
     return true;
@@ -55,7 +55,7 @@
 {
     DispatchOrder dispatchOrder = orderFor(exchange, target);
     dispatchOrder.notAfter = exchange.deadline;
-    dispatchOrder.resumesOnly = true;
+    dispatchOrder.resumeOnly = true;
     if (!order(exchange, std::move(dispatchOrder), now))
         return false;
     m_context.record(RequestsEvent::StreamTakenOver, exchange, "target=" + target.id.text());
@@ -72,7 +72,7 @@
         return;
     const Duration left = exchange.deadline - now + StreamKeptAfterEnd;
     out.push_back({witnesses.front(),
-                   RunHint {exchange.key, exchange.request.sketch.fingerprint,
+                   RunHint {exchange.key, exchange.request.profile.fingerprint,
                             exchange.reservation->target, left}});
 }
 
@@ -91,7 +91,7 @@
     release.shard = exchange.reservation->shard;
     release.target = exchange.reservation->target;
     release.end = ended.end;
-    release.promptTokens = exchange.request.sketch.promptTokens;
+    release.promptTokens = exchange.request.profile.promptTokens;
     release.cachedTokens = std::max(ended.cachedTokens, exchange.reservation->cachedTokens);
     release.outputTokens = ended.outputTokens;
     release.firstByte = ended.firstByte;
--- a/packages/requests/tests/apricothook_flow_fixture.hpp
+++ b/packages/requests/tests/apricothook_flow_fixture.hpp
@@ -47,7 +47,7 @@
     }
     std::uint64_t version() const override { return 0; }
     double visibleShare() const override { return 1; }
-    std::vector<ShardId> shardsFor(const ServiceId &, const RequestSketch &, Instant) override
+    std::vector<ShardId> shardsFor(const ServiceId &, const RequestProfile &, Instant) override
     {
         return shardList;
     }
@@ -138,8 +138,8 @@
         request.method = "POST";
         request.path = "/v1/completions";
         request.key = RequestKey(key);
-        request.sketch.fingerprint = Fingerprint(5);
-        request.sketch.prefixes = {PrefixHash(1), PrefixHash(2)};
+        request.profile.fingerprint = Fingerprint(5);
+        request.profile.prefixes = {PrefixHash(1), PrefixHash(2)};
         request.answer = std::make_shared<AnswerStream>();
         std::shared_ptr<AnswerStream> answer = request.answer;
         flow.handle(std::move(request), now, out);
--- a/packages/requests/tests/apricothook_request_flow_tests.cpp
+++ b/packages/requests/tests/apricothook_request_flow_tests.cpp
@@ -231,7 +231,7 @@
         f.homeSays(1, "k", KeyState::Answered);
         REQUIRE(f.fakes.fetched.size() == 1);
         const KeptAnswer kept {{200, {}}, "first"};
-        f.flow.handle(KeptAnswerArrived {ExchangeId(1), std::make_shared<const KeptAnswer>(kept)},
+        f.flow.handle(KeptAnswerFetched {ExchangeId(1), std::make_shared<const KeptAnswer>(kept)},
                       f.now);
         CHECK(answer->state() == AnswerStream::State::Finished);
         CHECK(f.fakes.orders.empty());
@@ -245,7 +245,7 @@
         f.call(1, "k");
         f.homeSays(1, "k", KeyState::Unknown);
         REQUIRE(f.fakes.orders.size() == 1);
-        CHECK(f.lastDispatch().resumesOnly);
+        CHECK(f.lastDispatch().resumeOnly);
     }
 
     TEST_CASE("A plain service's lost run can't be taken over and is told as unknown")
@@ -307,7 +307,7 @@
         f.flow.handle(MemberId("w2"), HintReply {1, RequestKey("k@mulgara"), TargetId("t2")}, f.now,
                       f.out);
         REQUIRE(f.fakes.orders.size() == 1);
-        CHECK(f.lastDispatch().resumesOnly);
+        CHECK(f.lastDispatch().resumeOnly);
         CHECK(f.lastDispatch().target == TargetId("t2"));
     }
 
--- a/packages/target/apricothook/target/internal/apricothook_dispatch.cpp
+++ b/packages/target/apricothook/target/internal/apricothook_dispatch.cpp
@@ -23,11 +23,11 @@
     : m_context(context)
     , m_order(std::move(order))
     , m_signal(std::make_shared<RoomSignal>(context.waker()))
-    , m_wasSent(m_order.resumesOnly)
+    , m_wasSent(m_order.resumeOnly)
     , m_isResumable(m_order.kind == ServiceKind::Engine && !m_order.streamId.empty())
 {
-    m_order.answer->setRoomCallback([signal = m_signal] { signal->set(); });
-    if (m_order.resumesOnly)
+    m_order.answer->setWritableCallback([signal = m_signal] { signal->set(); });
+    if (m_order.resumeOnly)
         resume();
     else
         send();
@@ -39,7 +39,7 @@
     ended.dispatch = order.dispatch;
     ended.end = RunEnd::Cancelled;
     // An order to resume says that the request ran before, whatever became of this order.
-    ended.isProvenNotRun = !order.resumesOnly;
+    ended.isProvenNotRun = !order.resumeOnly;
     return ended;
 }
 
@@ -130,7 +130,7 @@
 
 HttpRequest Dispatch::resumeRequest()
 {
-    const std::size_t written = m_order.answer->written();
+    const std::size_t written = m_order.answer->bytesWritten();
     // Another adapter wrote what is there. Without its last bytes the scanner would miss a last
     // event that lies across the border, and a whole answer would pass for a broken one.
     m_overlap = m_bytes == 0 ? std::min(written, OverlapBytes) : 0;
@@ -311,7 +311,7 @@
     if (std::exchange(m_hasEnded, true))
         return;
     m_exchange.reset();
-    m_order.answer->setRoomCallback(nullptr);
+    m_order.answer->setWritableCallback(nullptr);
     DispatchEnded ended;
     ended.dispatch = m_order.dispatch;
     ended.end = end;
--- a/packages/target/tests/apricothook_resume_tests.cpp
+++ b/packages/target/tests/apricothook_resume_tests.cpp
@@ -150,7 +150,7 @@
         const ScriptedTarget target(engine(log, [](ScriptedConnection &) {}));
         TargetBench bench;
         DispatchOrder order = bench.order(target.address(), ServiceKind::Engine);
-        order.resumesOnly = true;
+        order.resumeOnly = true;
         std::size_t written = 0;
         SUBCASE("from the beginning") { }
         SUBCASE("from within an event")
@@ -221,7 +221,7 @@
         REQUIRE(bench.waitForBytes(order, AnswerStream::Capacity));
         bench.clock.advance(order.deadlines.betweenBytes * 3);
         std::this_thread::sleep_for(std::chrono::milliseconds(20));
-        CHECK(order.answer->written() < 2 * AnswerStream::Capacity);
+        CHECK(order.answer->bytesWritten() < 2 * AnswerStream::Capacity);
         std::size_t read = 0;
         REQUIRE(waitUntil([&] {
             for (std::string part; !(part = textOf(*order.answer)).empty();)
--- a/packages/target/tests/apricothook_target_bench.hpp
+++ b/packages/target/tests/apricothook_target_bench.hpp
@@ -72,7 +72,7 @@
     }
     bool waitForBytes(const DispatchOrder &order, std::size_t bytes)
     {
-        return waitUntil([&] { return order.answer->written() >= bytes; });
+        return waitUntil([&] { return order.answer->bytesWritten() >= bytes; });
     }
 
     ManualClock clock;
--- a/packages/testsupport/apricothook/testsupport/apricothook_recording_inbox.hpp
+++ b/packages/testsupport/apricothook/testsupport/apricothook_recording_inbox.hpp
@@ -36,7 +36,7 @@
     std::optional<T> wait(std::size_t count = 1) const
     {
         std::unique_lock lock(m_mutex);
-        m_arrived.wait_for(lock, Patience, [&] { return select<T>().size() >= count; });
+        m_arrived.wait_for(lock, WaitTimeout, [&] { return select<T>().size() >= count; });
         const std::vector<T> found = select<T>();
         return found.size() >= count ? std::optional(found[count - 1]) : std::nullopt;
     }
@@ -52,7 +52,7 @@
 
 private:
     // Only ends a hanging test; no check depends on it.
-    static constexpr auto Patience = std::chrono::seconds(20);
+    static constexpr auto WaitTimeout = std::chrono::seconds(20);
 
     template <typename T>
     std::vector<T> select() const
--- a/packages/testsupport/apricothook/testsupport/apricothook_wait_until.hpp
+++ b/packages/testsupport/apricothook/testsupport/apricothook_wait_until.hpp
@@ -7,11 +7,11 @@
 namespace Apricothook {
 
 /** Waits for a condition set by another thread. The limit only ends a hanging test. */
-inline bool waitUntil(const std::function<bool()> &isTrue)
+inline bool waitUntil(const std::function<bool()> &condition)
 {
-    constexpr int MostTurns = 20'000;
-    for (int turn = 0; turn < MostTurns; ++turn) {
-        if (isTrue())
+    constexpr int MaximumPolls = 20'000;
+    for (int poll = 0; poll < MaximumPolls; ++poll) {
+        if (condition())
             return true;
         std::this_thread::sleep_for(std::chrono::milliseconds(1));
     }
