--- a/packages/eventloop/apricothook/eventloop/apricothook_datagram_socket.hpp
+++ b/packages/eventloop/apricothook/eventloop/apricothook_datagram_socket.hpp
@@ -10,7 +10,7 @@
 class DatagramSocket : private DescriptorEvents
 {
 public:
-    /** Largest datagram that is read; anything longer is cut and fails to parse. */
+    /** Receive buffer size; a longer datagram is truncated and fails to parse. */
     static constexpr std::size_t LargestBytes = 8192;
     using Received = std::function<void(std::string_view bytes)>;
 
@@ -20,7 +20,7 @@
     DatagramSocket(const DatagramSocket &) = delete;
     DatagramSocket &operator=(const DatagramSocket &) = delete;
 
-    /** A datagram that the kernel doesn't take is lost, as one on the way may be. */
+    /** Drops the datagram if the kernel doesn't accept it; UDP may lose it anyway. */
     void send(const Endpoint &to, std::string_view bytes);
 
 private:
--- a/packages/eventloop/apricothook/eventloop/apricothook_event_loop.cpp
+++ b/packages/eventloop/apricothook/eventloop/apricothook_event_loop.cpp
@@ -119,7 +119,7 @@
 void EventLoop::wake()
 {
     const std::uint64_t one = 1;
-    // The counter is full only while a wake-up is pending anyway.
+    // The write fails only when the eventfd counter is full, that is, with a wake-up pending.
     [[maybe_unused]] const ssize_t written = write(m_waker, &one, sizeof one);
 }
 
@@ -156,7 +156,7 @@
         return 0;
     if (m_timers.empty())
         return -1;
-    // Rounded up, as a wait that ends before the timer is due would be repeated at once.
+    // Rounded up: a wait that ends before the timer is due would only be repeated.
     const auto left
         = std::chrono::ceil<std::chrono::milliseconds>(m_timers.begin()->first.first - now());
     return static_cast<int>(
--- a/packages/eventloop/apricothook/eventloop/apricothook_event_loop.hpp
+++ b/packages/eventloop/apricothook/eventloop/apricothook_event_loop.hpp
@@ -13,7 +13,7 @@
 
 namespace Apricothook {
 
-/** Is told when a descriptor can be read or written. */
+/** Receives the readiness events of a descriptor. */
 class DescriptorEvents
 {
 public:
@@ -22,14 +22,14 @@
     virtual void onWritable() = 0;
 };
 
-/** Names a timer; zero names none. */
+/** Identifies a timer; zero is no timer. */
 using TimerId = std::uint64_t;
 
 /**
- * One thread's loop over descriptors, timers and functions that other threads hand in.
+ * A single-threaded event loop for descriptors, timers and functions posted by other threads.
  *
- * It waits in epoll itself instead of in ACE's reactor, which takes one event a wait and arms the
- * descriptor again after it: four system calls for each forwarded event where two do.
+ * Uses epoll directly instead of ACE's reactor, which handles one event per wait and re-arms the
+ * descriptor afterwards: four system calls for each forwarded event where two are enough.
  */
 class EventLoop
 {
@@ -39,25 +39,25 @@
     EventLoop(const EventLoop &) = delete;
     EventLoop &operator=(const EventLoop &) = delete;
 
-    /** `events` must live until unwatch(). Reports readable at once where data waits. */
+    /** `events` must live until unwatch(). Data that is already queued is reported as readable. */
     void watch(int descriptor, DescriptorEvents &events);
-    /** Readable is reported while `readable`, writable while `writable`. */
+    /** Selects the readiness events that are reported; both are level-triggered. */
     void setInterest(int descriptor, bool readable, bool writable);
     void unwatch(int descriptor);
 
     TimerId after(Duration delay, std::function<void()> action);
-    /** Does nothing for a timer that has run; sets `timer` to none. */
+    /** Has no effect on a timer that already ran. Sets `timer` to zero. */
     void cancel(TimerId &timer);
 
-    /** Runs `action` on the loop's thread after the present event; only from the loop's thread. */
+    /** Runs `action` after the current event. May only be called on the loop's thread. */
     void defer(std::function<void()> action);
-    /** As defer(), from any thread; false when too many wait already. */
+    /** Like defer(), but callable from any thread; false if the queue is full. */
     bool post(std::function<void()> action);
 
     void run();
-    /** One round: what is due, then the events that come within `longestWait`. */
+    /** One iteration: runs due timers, then waits up to `longestWait` for events. */
     void runOnce(std::chrono::milliseconds longestWait);
-    /** Ends run(); safe from any thread and from signal handlers. */
+    /** Makes run() return; safe from any thread and from signal handlers. */
     void stop();
     /** Makes run() call the wake action soon; safe from any thread and from signal handlers. */
     void wake();
@@ -65,9 +65,9 @@
     Instant now() const { return m_clock.now(); }
 
 private:
-    /** Functions of other threads that may wait; two threads hand in a few a second each. */
+    /** Capacity of the post() queue; two threads post a few functions a second each. */
     static constexpr std::size_t PostedCapacity = 256;
-    /** Events taken in one wait. */
+    /** Most events taken from one epoll_wait(). */
     static constexpr int EventsPerWait = 64;
 
     void runDueTimers();
@@ -84,7 +84,7 @@
     TimerId m_lastTimer = 0;
     std::map<std::pair<Instant, TimerId>, std::function<void()>> m_timers;
     std::unordered_map<TimerId, Instant> m_timerTimes;
-    /** By descriptor; an event of a descriptor that left in the same round finds nothing here. */
+    /** By descriptor; events of a descriptor removed earlier in the iteration are ignored. */
     std::unordered_map<int, DescriptorEvents *> m_watched;
     std::vector<std::function<void()>> m_deferred;
     std::function<void()> m_wakeAction;
--- a/packages/eventloop/apricothook/eventloop/apricothook_listener.cpp
+++ b/packages/eventloop/apricothook/eventloop/apricothook_listener.cpp
@@ -12,7 +12,10 @@
 
 namespace {
 
-/** Callers of a whole site may come at once after a restart; a full queue costs them seconds. */
+/**
+ * After a restart all callers of a site may connect at once; with a full backlog they would lose
+ * seconds to SYN retransmission.
+ */
 constexpr int WaitingConnections = 1024;
 
 } // namespace
@@ -59,7 +62,7 @@
 
 void Listener::onReadable()
 {
-    // One connection a round: a herd must not hold up the requests that are under way.
+    // One connection per loop iteration, so that a burst doesn't delay requests in progress.
     const int descriptor = accept4(m_descriptor, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (descriptor >= 0)
         m_accepted(descriptor);
--- a/packages/eventloop/apricothook/eventloop/apricothook_listener.hpp
+++ b/packages/eventloop/apricothook/eventloop/apricothook_listener.hpp
@@ -9,14 +9,14 @@
 
 namespace Apricothook {
 
-/** The system's error number of a listening address that can't be opened. */
+/** The errno value from opening a listening address. */
 struct ListenError
 {
     Endpoint address;
     int errorNumber = 0;
 };
 
-/** Accepts connections at an address and hands over their descriptors. */
+/** Accepts TCP connections at an address and passes on their descriptors. */
 class Listener : private DescriptorEvents
 {
 public:
@@ -25,7 +25,7 @@
     static Result<std::unique_ptr<Listener>, ListenError>
     open(EventLoop &loop, const Endpoint &address, Accepted accepted);
     ~Listener() override;
-    /** The port that the system chose where the address named none. */
+    /** The bound port; chosen by the system if the address has port zero. */
     std::uint16_t port() const;
     Listener(const Listener &) = delete;
     Listener &operator=(const Listener &) = delete;
--- a/packages/eventloop/apricothook/eventloop/apricothook_stream_socket.cpp
+++ b/packages/eventloop/apricothook/eventloop/apricothook_stream_socket.cpp
@@ -14,13 +14,14 @@
 
 namespace {
 
-/** Seconds an idle connection stays unprobed, and between its probes; two unanswered end it. */
+/** Idle time before the first keep-alive probe, and the interval between probes. */
 constexpr int ProbeSeconds = 1;
+/** The connection ends after two unanswered probes. */
 constexpr int UnansweredProbes = 2;
 
 void setOption(int descriptor, int level, int option, int value)
 {
-    // A socket without the option still works; it only notices silence later.
+    // The options are optional: without them a dead peer is only detected later.
     static_cast<void>(setsockopt(descriptor, level, option, &value, sizeof value));
 }
 
@@ -67,7 +68,7 @@
         ::close(m_descriptor);
         m_descriptor = -1;
     }
-    // Told later, as the owner isn't ready for calls while it makes the socket.
+    // Reported asynchronously, as the owner can't handle calls while it constructs the socket.
     m_loop.defer([this, alive = std::weak_ptr(m_alive)] {
         if (!alive.expired())
             m_events.onEnd(CloseReason::Failed);
@@ -96,7 +97,7 @@
         const ssize_t sent = ::send(m_descriptor, bytes.data(), bytes.size(), MSG_NOSIGNAL);
         if (sent >= 0)
             bytes.remove_prefix(static_cast<std::size_t>(sent));
-        // An error shows again when the socket is read, where the owner expects its end.
+        // An error is reported again by the next read, where the owner expects onEnd().
     }
     if (bytes.empty())
         return;
@@ -161,7 +162,7 @@
     }
     const std::weak_ptr alive(m_alive);
     std::array<char, ReadBytes> buffer;
-    // A full buffer means that more may wait; reading on saves a wait.
+    // A full buffer means that more data may be queued; reading on saves an epoll_wait().
     for (bool more = true; more;) {
         const ssize_t got = recv(m_descriptor, buffer.data(), buffer.size(), 0);
         if (got < 0 && isTemporary(errno))
@@ -213,7 +214,7 @@
     const std::string_view rest = std::string_view(m_unsent).substr(m_sentOfUnsent);
     const ssize_t sent = ::send(m_descriptor, rest.data(), rest.size(), MSG_NOSIGNAL);
     if (sent < 0 && !isTemporary(errno)) {
-        // Nothing more can be sent; the end of the connection is told when it is read.
+        // Nothing more can be sent; the next read reports the end of the connection.
         m_unsent.clear();
         m_sentOfUnsent = 0;
         return;
--- a/packages/eventloop/apricothook/eventloop/apricothook_stream_socket.hpp
+++ b/packages/eventloop/apricothook/eventloop/apricothook_stream_socket.hpp
@@ -9,57 +9,58 @@
 
 namespace Apricothook {
 
-/** How a connection ended. */
+/** Why a connection ended. */
 enum class CloseReason {
-    PeerClosed, ///< The other side closed it in order; all that it sent has been read.
-    Failed,     ///< Reset, timed out, or never established.
+    PeerClosed, ///< The peer closed it in order and all of its data was read.
+    Failed,     ///< Reset, timed out or not established.
 };
 
-/** Is told what happens on a connection. May destroy the socket in any call. */
+/** Receives the events of a connection. Any of the calls may destroy the socket. */
 class StreamSocketEvents
 {
 public:
     virtual ~StreamSocketEvents() = default;
     virtual void onConnected() { }
     virtual void onData(std::string_view bytes) = 0;
-    /** The socket is closed already. */
+    /** Called after the socket was closed. */
     virtual void onEnd(CloseReason end) = 0;
-    /** All that was to be sent is with the kernel. */
+    /** The send buffer is empty: the kernel has taken all bytes. */
     virtual void onDrained() { }
 };
 
 /**
- * A TCP connection on an event loop. What the kernel doesn't take at once is kept and sent later.
+ * A non-blocking TCP connection on an event loop. Bytes that the kernel doesn't accept at once are
+ * buffered and sent when the socket becomes writable.
  *
- * A connection can fall silent without a reset, when the other VM lost power or something on
- * the way lost track of it. Sent bytes that stay unacknowledged, and probes of an idle connection
- * that stay unanswered, end it after SilenceLimit.
+ * A connection can die without a reset, when the peer's VM loses power or a middlebox drops its
+ * connection state. Unacknowledged data and unanswered keep-alive probes therefore close it after
+ * DeadPeerTimeout.
  */
 class StreamSocket : private DescriptorEvents
 {
 public:
-    /** Well above the round trip and a few retransmissions, below the pause that callers bear. */
+    /** Allows for a few retransmissions, but is shorter than the pause that callers tolerate. */
     static constexpr std::chrono::milliseconds SilenceLimit {1500};
 
-    /** Takes over an accepted descriptor. */
+    /** Takes ownership of an accepted descriptor. */
     StreamSocket(EventLoop &loop, StreamSocketEvents &events, int descriptor);
-    /** Starts to connect. */
+    /** Starts connecting; onConnected() or onEnd() reports the result. */
     StreamSocket(EventLoop &loop, StreamSocketEvents &events, const Endpoint &to);
     ~StreamSocket() override;
     StreamSocket(const StreamSocket &) = delete;
     StreamSocket &operator=(const StreamSocket &) = delete;
 
     void send(std::string_view bytes);
-    /** While paused nothing is read, and the other side's window fills. */
+    /** While reading is off, flow control stops the peer once the receive window is full. */
     void setReading(bool reading);
-    /** Bytes that the kernel hasn't taken. */
+    /** Buffered bytes that the kernel hasn't accepted yet. */
     std::size_t unsentBytes() const { return m_unsent.size() - m_sentOfUnsent; }
     bool isOpen() const { return m_descriptor >= 0; }
-    /** Tells the other side that nothing more will come, once all is sent; reading goes on. */
+    /** Half-closes the connection after all buffered bytes are sent; reading continues. */
     void shutdownSend();
-    /** Sends what is left if the kernel takes it, then closes in order. */
+    /** Sends as many buffered bytes as the kernel accepts now, then closes in order. */
     void close();
-    /** Closes with a reset: an answer without a length must not look complete. */
+    /** Closes with a reset, so that a response without a length doesn't look complete. */
     void abort();
 
 private:
@@ -82,7 +83,7 @@
     bool m_finishing = false;
     std::string m_unsent;
     std::size_t m_sentOfUnsent = 0;
-    /** Shared with callbacks under way, which learn by it that the socket is gone. */
+    /** Running callbacks hold a weak pointer to it to detect that the socket was destroyed. */
     std::shared_ptr<bool> m_alive = std::make_shared<bool>(true);
 };
 
--- a/packages/eventloop/tests/apricothook_event_loop_tests.cpp
+++ b/packages/eventloop/tests/apricothook_event_loop_tests.cpp
@@ -32,7 +32,7 @@
 
 } // namespace
 
-TEST_CASE("timers run in the order of their times, and once")
+TEST_CASE("timers run once, in the order of their due times")
 {
     Bench bench;
     bench.note('b', std::chrono::milliseconds(20));
@@ -45,7 +45,7 @@
     CHECK(bench.order == "abc");
 }
 
-TEST_CASE("a cancelled timer doesn't run, even from a timer of the same moment")
+TEST_CASE("a timer can be cancelled by another timer that is due at the same time")
 {
     Bench bench;
     TimerId second = 0;
@@ -57,7 +57,7 @@
     bench.loop.cancel(second);
 }
 
-TEST_CASE("deferred actions run after the present one")
+TEST_CASE("deferred actions run after the current one")
 {
     Bench bench;
     bench.loop.after(NoWait, [&] {
@@ -68,7 +68,7 @@
     CHECK(bench.order == "12");
 }
 
-TEST_CASE("other threads hand actions in and wake the loop")
+TEST_CASE("actions posted by another thread wake the loop")
 {
     Bench bench;
     bool ran = false;
@@ -83,7 +83,7 @@
     CHECK(ran);
 }
 
-TEST_CASE("a full ring refuses what other threads hand in")
+TEST_CASE("post fails while the queue is full")
 {
     Bench bench;
     int taken = 0;
--- a/packages/gateway/apricothook/gateway/apricothook_caller_connection.cpp
+++ b/packages/gateway/apricothook/gateway/apricothook_caller_connection.cpp
@@ -83,7 +83,7 @@
 
 void CallerConnection::readRequests()
 {
-    // A request that is answered at once comes back here from finishAnswer().
+    // finishAnswer() calls this again if begin() answers the request synchronously.
     if (std::exchange(m_inRead, true))
         return;
     while (!m_answering && !m_lingering && m_socket.isOpen() && !m_early.empty()) {
@@ -203,7 +203,7 @@
         head.headers.set("Connection", "close");
         m_socket.send(writeResponseHead(head, {BodyFraming::Kind::Sized, 0}));
     }
-    // Closing with unread bytes resets the connection, and the caller would lose the answer.
+    // Closing with unread bytes resets the connection, and the caller could lose the response.
     m_lingering = true;
     m_early.clear();
     m_socket.shutdownSend();
--- a/packages/gateway/apricothook/gateway/apricothook_caller_connection.hpp
+++ b/packages/gateway/apricothook/gateway/apricothook_caller_connection.hpp
@@ -9,31 +9,31 @@
 namespace Apricothook {
 
 /**
- * One caller's connection: reads requests one after the other and writes their answers.
+ * A caller's connection: reads requests and writes their responses.
  *
- * The next request is read only when the answer to the one before is complete, so an answer can't
- * reach another request. While a target works, the connection is still read, as nothing else tells
- * that the caller has gone.
+ * Requests are processed one at a time: the next one is parsed only after the response to the
+ * previous one is complete, so responses can't be mixed up. While a request is in progress the
+ * socket is still read, as this is the only way to detect that the caller has disconnected.
  */
 class CallerConnection : private StreamSocketEvents, private CallerResponder
 {
 public:
     using Closed = std::function<void(CallerConnection &)>;
 
-    /** `closed` is called once; it may not destroy the connection before the event is over. */
+    /** `closed` is called once; it must not destroy the connection during the current event. */
     CallerConnection(EventLoop &loop, CallerRequestHandler &handler, int descriptor, Closed closed);
     ~CallerConnection() override;
     CallerConnection(const CallerConnection &) = delete;
     CallerConnection &operator=(const CallerConnection &) = delete;
 
-    /** Closes it if no request is being read or answered. */
+    /** Closes the connection unless a request is being read or answered. */
     void closeIfIdle();
     bool isIdle() const;
 
 private:
-    /** Bytes of further requests that are kept while one is answered. */
+    /** Buffer limit for pipelined requests while one is being answered. */
     static constexpr std::size_t MostEarlyBytes = 65536;
-    /** How long a refused caller may go on sending before the connection is cut. */
+    /** How long input is still drained after the last response before the connection is closed. */
     static constexpr std::chrono::milliseconds LingerTime {1000};
 
     void onData(std::string_view bytes) override;
@@ -65,7 +65,7 @@
     RequestReader m_reader;
     CallerRequestEvents *m_request = nullptr;
     std::string m_early;
-    /** When the first byte of the present request was read. */
+    /** When the first byte of the current request was read. */
     Instant m_begun {};
     bool m_headDone = false;
     bool m_isHeadRequest = false;
--- a/packages/gateway/apricothook/gateway/apricothook_caller_responder.hpp
+++ b/packages/gateway/apricothook/gateway/apricothook_caller_responder.hpp
@@ -8,55 +8,53 @@
 
 namespace Apricothook {
 
-/** The way back to the caller of one request. */
+/** Sends the response of one request to its caller. */
 class CallerResponder
 {
 public:
     virtual ~CallerResponder() = default;
     virtual void sendHead(const ResponseHead &head, BodyFraming body) = 0;
     virtual void sendBody(std::string_view bytes) = 0;
-    /** The answer is whole. */
     virtual void finishAnswer() = 0;
-    /** The answer can't be completed; the caller must see that. */
+    /** Resets the connection, so that the caller detects the incomplete response. */
     virtual void abortAnswer() = 0;
-    /** Bytes that the caller hasn't taken yet. */
+    /** Buffered response bytes that the kernel hasn't accepted yet. */
     virtual std::size_t unsentBytes() const = 0;
 };
 
-/** Is told what the caller does while its request is served. */
+/** Receives the events of a caller's connection while its request is served. */
 class CallerRequestEvents
 {
 public:
     virtual ~CallerRequestEvents() = default;
     virtual void onCallerGone() = 0;
-    /** All that was sent has been taken. */
+    /** All buffered response bytes were sent. */
     virtual void onCallerDrained() = 0;
 };
 
-/** A caller's whole request. */
+/** A completely received request. */
 struct ReceivedRequest
 {
     RequestHead head;
     std::string body;
-    /** When its first byte was read. */
+    /** When the first byte was read. */
     Instant begun {};
 };
 
-/** Takes whole requests; one object serves all connections. */
+/** Handles complete requests; shared by all caller connections. */
 class CallerRequestHandler
 {
 public:
     virtual ~CallerRequestHandler() = default;
-    /** The answer goes through `responder`, which lives until the answer ended or the caller left.
-     */
+    /** `responder` is valid until the response ends or the caller disconnects. */
     virtual CallerRequestEvents &begin(ReceivedRequest request, CallerResponder &responder) = 0;
-    /** The connection needs `events` no more, as its answer ended or the caller left. */
+    /** Called after the response ended or the caller disconnected; `events` isn't used again. */
     virtual void release(CallerRequestEvents &events) = 0;
     virtual MessageLimits messageLimits() const = 0;
     virtual Duration headTimeout() const = 0;
     virtual Duration idleTimeout() const = 0;
     virtual const WireProtocol &dialect() const = 0;
-    /** Connections must not be kept, as the process is about to leave. */
+    /** The process is shutting down: connections are closed after the current response. */
     virtual bool isLeaving() const = 0;
 };
 
--- a/packages/gateway/apricothook/gateway/apricothook_channel_pool.cpp
+++ b/packages/gateway/apricothook/gateway/apricothook_channel_pool.cpp
@@ -94,7 +94,7 @@
         = std::ranges::find(m_channels, &channel, &std::unique_ptr<TargetChannel>::get);
     if (found == m_channels.end())
         return;
-    // The channel is in the middle of one of its own calls; it goes when that is over.
+    // Called from a member function of the channel, so it is destroyed after the event.
     m_loop.defer([gone = std::shared_ptr<TargetChannel>(std::move(*found))] {});
     m_channels.erase(found);
 }
--- a/packages/gateway/apricothook/gateway/apricothook_channel_pool.hpp
+++ b/packages/gateway/apricothook/gateway/apricothook_channel_pool.hpp
@@ -9,17 +9,18 @@
 
 namespace Apricothook {
 
-/** Keeps idle channels to targets for the next request; new ones cost a round trip and more. */
+/** Connection pool: reuses idle channels, as a new one costs at least a round trip. */
 class ChannelPool : private TargetChannelOwner
 {
 public:
-    /** Idle time after which a channel is closed, unless the target said a shorter one. */
+    /** Idle time after which a channel is closed, unless the target's keep-alive time is shorter.
+     */
     static constexpr std::chrono::milliseconds IdleLimit {4000};
-    /** Part of the time that a target keeps a connection after which it isn't trusted. */
+    /** Fraction of the target's keep-alive time for which an idle channel is used. */
     static constexpr double TrustedPart = 0.6;
     /**
-     * Idle time up to which a channel carries a request that must not run twice: on one that the
-     * target is just closing, nobody could tell whether it ran.
+     * Idle time up to which a channel is used for a request that must not run twice. If the target
+     * closes the channel just as the request is sent, it is unknown whether the request ran.
      */
     static constexpr std::chrono::milliseconds FreshLimit {1000};
 
@@ -28,9 +29,9 @@
     ChannelPool(const ChannelPool &) = delete;
     ChannelPool &operator=(const ChannelPool &) = delete;
 
-    /** An idle channel to the target, or a new one that is still connecting. */
+    /** Returns an idle channel to the target, or a new one that is still connecting. */
     TargetChannel &acquire(const TargetEntry &target, bool mayRunAgain);
-    /** Closes the idle channels to a target that is gone. */
+    /** Closes the idle channels to the target. */
     void forget(const TargetId &target);
     std::size_t size() const { return m_channels.size(); }
 
@@ -48,7 +49,7 @@
     const WireProtocol &m_dialect;
     LogWriter &m_log;
     Channels m_channels;
-    /** The last one was used last; using it first lets the others grow old and close. */
+    /** Most recently used last; these are reused first, so that surplus channels expire. */
     std::map<TargetId, std::vector<TargetChannel *>> m_idle;
     TimerId m_sweep = 0;
 };
--- a/packages/gateway/apricothook/gateway/apricothook_crash_watch.cpp
+++ b/packages/gateway/apricothook/gateway/apricothook_crash_watch.cpp
@@ -6,7 +6,7 @@
 
 namespace Apricothook {
 
-/** A new connection to a target, and what the target dropped meanwhile. */
+/** A new connection to a target, and the requests that the target has dropped. */
 class CrashWatch::Probe : private StreamSocketEvents
 {
 public:
--- a/packages/gateway/apricothook/gateway/apricothook_crash_watch.hpp
+++ b/packages/gateway/apricothook/gateway/apricothook_crash_watch.hpp
@@ -12,17 +12,17 @@
 namespace Apricothook {
 
 /**
- * Tells a target that has crashed from one that dropped a connection.
+ * Distinguishes a crashed target from one that merely closed a connection.
  *
- * A target drops a connection for many reasons. Where a new one isn't kept either, it has crashed,
- * and the requests that it dropped about then were lost with it.
+ * After a target drops a connection, a probe connects to it again. If the probe doesn't stay
+ * connected either, the target has crashed, and the requests dropped until then were lost with it.
  */
 class CrashWatch
 {
 public:
     using Crashed = std::function<void(const TargetId &target, const std::vector<Fingerprint> &)>;
 
-    /** From the first dropped connection to the verdict; a new connection takes a round trip. */
+    /** From the first dropped connection to the decision; connecting takes one round trip. */
     static constexpr std::chrono::milliseconds ProbeTime {150};
 
     CrashWatch(EventLoop &loop, Crashed crashed);
@@ -30,7 +30,7 @@
     CrashWatch(const CrashWatch &) = delete;
     CrashWatch &operator=(const CrashWatch &) = delete;
 
-    /** The target dropped the request's connection before its answer was whole. */
+    /** Records that the target dropped the connection before the response was complete. */
     void noteDropped(const TargetEntry &target, Fingerprint request);
 
 private:
--- a/packages/gateway/apricothook/gateway/apricothook_event_stream_scanner.hpp
+++ b/packages/gateway/apricothook/gateway/apricothook_event_stream_scanner.hpp
@@ -7,26 +7,26 @@
 
 namespace Apricothook {
 
-/** Whole events cut off the front of a stream. */
+/** Complete events taken from a stream. */
 struct WholeEvents
 {
-    /** Their bytes, unchanged. */
+    /** The unchanged bytes of the events. */
     std::string bytes;
     std::size_t count = 0;
-    /** The id of the last one that has an id. */
+    /** The id of the last event with an id. */
     std::optional<std::uint64_t> lastId;
 };
 
 /**
- * Cuts a text/event-stream at the ends of events. A target may stop in the middle of an event; only
- * whole events may be passed on if another target is to go on behind them.
+ * Splits a text/event-stream into complete events. A target can fail in the middle of an event; a
+ * stream can be resumed on another target only if nothing but complete events was forwarded.
  */
 class EventStreamScanner
 {
 public:
-    /** Takes bytes and gives back the events that they complete. */
+    /** Appends bytes and returns the events that are now complete. */
     WholeEvents take(std::string_view bytes);
-    /** Bytes of an event that isn't whole. */
+    /** The bytes of an incomplete event. */
     const std::string &rest() const { return m_rest; }
     void clear() { m_rest.clear(); }
 
--- a/packages/gateway/apricothook/gateway/apricothook_forwarded_answer.cpp
+++ b/packages/gateway/apricothook/gateway/apricothook_forwarded_answer.cpp
@@ -7,20 +7,20 @@
 #include <algorithm>
 #include <utility>
 
-// The way of a target's answer to the caller; the request's own way is in
+// ForwardedRequest: relays the target's response. The request is handled in
 // apricothook_forwarded_request.cpp.
 
 namespace Apricothook {
 
 namespace {
 
-/** Body of a plain answer that is kept whole, so that a broken one can be replaced. */
+/** Largest response body that is buffered completely, so that a failed attempt can be retried. */
 constexpr std::size_t MostKeptBody = 1 << 20;
-/** Bytes that a slow caller may be behind before its target is no longer read. */
+/** Unsent bytes to a slow caller above which its target's connection is no longer read. */
 constexpr std::size_t MostUnsentBytes = 1 << 18;
-/** Shortest silence within a stream after which another target goes on. */
+/** Shortest gap between stream events after which another target resumes the stream. */
 constexpr std::chrono::milliseconds ShortestStall {1000};
-/** The same in pauses that are still on time. */
+/** The same gap as a multiple of the route's objective for event gaps. */
 constexpr int StallFactor = 4;
 
 TargetOutcome outcomeOf(ChannelFailure failure)
@@ -44,7 +44,7 @@
         m_attempt->isNotRun = true;
         return;
     }
-    // An error's body and end would be taken for those of the stream that it should go on with.
+    // The caller would take the error's body and end for a part of the stream to be resumed.
     if (m_progress != Progress::Nothing && head.status != HttpStatus::Ok) {
         m_attempt->channel->cancel();
         m_mayHaveRun = true;
--- a/packages/gateway/apricothook/gateway/apricothook_forwarded_request.cpp
+++ b/packages/gateway/apricothook/gateway/apricothook_forwarded_request.cpp
@@ -15,17 +15,17 @@
 
 namespace {
 
-/** Sends of one request to any target, with those that a target refused. */
+/** Most sends of one request, including those that a target refused. */
 constexpr unsigned MostSends = 4;
-/** A target stops at the deadline itself; its own answer is on its way then. */
+/** Targets stop at the deadline themselves; allows for their response to arrive. */
 constexpr std::chrono::milliseconds AnswerOnItsWay {60};
-/** Least time left that makes another try worth it. */
+/** Without this much time before the deadline a request isn't retried. */
 constexpr std::chrono::milliseconds LeastTimeToTry {100};
-/** Times the expected first event after which a target counts as silent. */
+/** Multiple of the expected time to the first event after which a target is unresponsive. */
 constexpr int SilenceFactor = 3;
-/** Shortest time after which a customer over its limit is asked to come back. */
+/** Smallest Retry-After for a customer that is over its limit. */
 constexpr std::chrono::milliseconds LimitPause {100};
-/** After each target refused: they were full a moment ago. */
+/** Retry-After if every target refused the request for lack of free slots. */
 constexpr std::chrono::milliseconds UsualRetryAfter {500};
 
 } // namespace
@@ -111,7 +111,7 @@
         return;
     }
     const Duration retryAfter = std::max<Duration>(verdict.retryAfter, LimitPause);
-    // Without a grantor nobody knows whether the customer is over its limit.
+    // Without a grantor it is unknown whether the customer is over its limit, so no 429.
     if (verdict.source == LimitSource::Nobody)
         answerOwn(RequestEnd::NoGrantor, HttpStatus::Unavailable, retryAfter);
     else
@@ -182,8 +182,8 @@
         && m_attempt->target.instance() != present;
     if (!isLost)
         return;
-    // The former start's connection may stay open and silent; without this its caller would wait
-    // until the deadline for an answer that nobody works on.
+    // The connection to the earlier instance may stay open without traffic; the caller would then
+    // wait until the deadline for a response that is never sent.
     m_attempt->channel->cancel();
     m_mayHaveRun = true;
     attemptFailed(TargetOutcome::Unreachable, "restarted");
@@ -230,7 +230,7 @@
     m_context.loop.cancel(m_attempt->silence);
     m_attempt->silence = m_context.loop.after(limit, [this, limit] {
         m_attempt->silence = 0;
-        // Without another target the request stays where it is: a late answer is still one.
+        // If no retry is possible, keep waiting: a late response is better than none.
         if (!m_admitted.route->isRetryable() || m_runs + 1 >= m_admitted.route->maximumAttempts
             || !mayTryAgain()) {
             watchSilence(limit);
@@ -256,7 +256,7 @@
                             .with("may_have_run", m_mayHaveRun)
                             .with("took_ms", now - m_attempt->started)
                             .with("left_ms", m_admitted.deadline - now));
-    // What never connected didn't arrive: it counts neither as a run nor as a repeated send.
+    // Without a connection the target received nothing: neither a run nor a retry is counted.
     const bool arrived = cause != AttemptFailure::NotConnected;
     m_runs += arrived && outcome != TargetOutcome::Full ? 1 : 0;
     endAttempt(outcome);
--- a/packages/gateway/apricothook/gateway/apricothook_forwarded_request.hpp
+++ b/packages/gateway/apricothook/gateway/apricothook_forwarded_request.hpp
@@ -15,11 +15,12 @@
 namespace Apricothook {
 
 /**
- * One request of a caller on its way: admission, waiting for a target, the target's answer, and
- * another target where the route allows it.
+ * Forwards one request: admission, queueing for a target, relaying the response, and retries on
+ * other targets where the route allows them.
  *
- * "Not run" is said only while it is certain: no byte was sent, or every target that got the
- * request stated that it didn't run it. After anything else the caller hears that it may have run.
+ * A request is reported as "not run" only if that is certain: no byte of it was sent, or every
+ * target that received it stated that it didn't run it. Otherwise the caller is told that the
+ * request may have run.
  */
 class ForwardedRequest : public CallerRequestEvents, private TargetAnswerEvents
 {
@@ -34,15 +35,15 @@
     void begin();
     void placed(const TargetEntry &target);
     void refused(const RefusalDetails &facts);
-    /** The customer's limit has the request's units, or not. */
+    /** The rate limit of the customer admitted or rejected the request. */
     void limitDecided(const LimitDecision &verdict);
-    /** What an earlier start of the target had of the request is lost with it. */
+    /** Fails the attempt if it was sent to an earlier instance of the target. */
     void targetRestarted(const TargetInstance &present);
     void onCallerGone() override;
     void onCallerDrained() override;
 
 private:
-    /** What the caller has of the answer. */
+    /** The part of the response that was sent to the caller. */
     enum class Progress { Nothing, Head, Ended };
 
     void onAnswerHead(const ResponseHead &head, const TargetResponseFields &verdict) override;
@@ -50,12 +51,12 @@
     void onAnswerComplete() override;
     void onAnswerFailed(ChannelFailure failure) override;
 
-    /** True when the request was refused, as it crashes its targets. */
+    /** Rejects the request and returns true if it is quarantined. */
     bool refuseQuarantined();
     void takeUnits();
     void start();
     void offer();
-    /** Neither for units nor for a target any longer. */
+    /** Stops waiting for units or a target. */
     void stopWaiting();
     void send(const TargetEntry &target);
     void watchSilence(Duration limit);
@@ -69,7 +70,7 @@
     void attemptFailed(TargetOutcome outcome, std::string_view cause);
     void endAttempt(TargetOutcome outcome);
     bool mayTryAgain();
-    /** Takes a repeated send from the retry budget, if that has one. */
+    /** Takes one retry from the retry budget; false if it is used up. */
     bool takeRetry(Instant now);
     void giveUp();
     void onDeadline();
@@ -90,19 +91,19 @@
     Progress m_progress = Progress::Nothing;
     bool m_waiting = false;
     bool m_waitsForUnits = false;
-    /** Some target may have run the request. */
+    /** A target may have run the request. */
     bool m_mayHaveRun = false;
     unsigned m_runs = 0;
     unsigned m_sends = 0;
     unsigned m_status = 0;
     std::set<TargetInstance> m_tried;
     std::optional<Attempt> m_attempt;
-    /** A failure of a target that is passed on if nothing better comes. */
+    /** A target's error response, forwarded if no other attempt succeeds. */
     std::optional<Attempt> m_failedAnswer;
     EventStreamScanner m_scanner;
     std::optional<std::uint64_t> m_lastEvent;
     std::optional<Instant> m_firstAnswer;
-    /** Set when the dispatcher found no room. */
+    /** Set if the dispatcher refused the request. */
     std::optional<RefusalDetails> m_refusal;
     std::optional<LimitDecision> m_limit;
 };
--- a/packages/gateway/apricothook/gateway/apricothook_gateway.cpp
+++ b/packages/gateway/apricothook/gateway/apricothook_gateway.cpp
@@ -86,7 +86,7 @@
         = std::ranges::find(m_connections, &connection, &std::unique_ptr<CallerConnection>::get);
     if (found == m_connections.end())
         return;
-    // The connection is in the middle of one of its own calls; it goes when that is over.
+    // Called from a member function of the connection, so it is destroyed after the event.
     m_loop.defer([gone = std::shared_ptr<CallerConnection>(std::move(*found))] {});
     m_connections.erase(found);
 }
@@ -115,7 +115,7 @@
     std::vector<ForwardedRequest *> open;
     for (const auto &[id, exchange] : m_exchanges)
         open.push_back(exchange.get());
-    // One that ends meanwhile goes after the present event.
+    // Requests that end in this loop are destroyed after the current event.
     for (ForwardedRequest *exchange : open)
         exchange->targetRestarted(present);
 }
--- a/packages/gateway/apricothook/gateway/apricothook_gateway.hpp
+++ b/packages/gateway/apricothook/gateway/apricothook_gateway.hpp
@@ -10,7 +10,7 @@
 
 namespace Apricothook {
 
-/** Serves callers: their connections, the requests on them and the channels to targets. */
+/** The HTTP reverse proxy: caller connections, requests in progress and target channels. */
 class Gateway : private CallerRequestHandler,
                 private DispatchListener,
                 private LimitListener,
@@ -26,24 +26,25 @@
     Gateway &operator=(const Gateway &) = delete;
 
     Result<void, ListenError> listen(const Endpoint &address);
-    /** The port of the callers' address; zero while not listening. */
+    /** The listening port; zero while not listening. */
     std::uint16_t port() const { return m_listener ? m_listener->port() : 0; }
     void setConfiguration(std::shared_ptr<const RouteTable> routes);
-    /** Daemons that are believed to serve, this one with them. */
+    /** Number of live daemons, including this one. */
     void setMembers(std::size_t live) { m_context.members = live; }
-    /** Daemons among which the fleet's bounds are divided; nothing while that is unknown. */
+    /** Number of daemons that share the fleet-wide bounds; nothing while unknown. */
     void setFleetSize(std::optional<std::size_t> daemons) { m_context.fleetSize = daemons; }
-    /** Takes a target over as it now is. */
+    /** Adds or updates a target; attempts at an earlier instance of it fail. */
     void putTarget(const TargetEntry &target);
     void removeTarget(const TargetId &target);
-    /** Targets of an evacuated data centre get nothing; what waits is placed anew at once. */
+    /** Targets of an evacuated data centre get no requests; waiting requests are dispatched anew.
+     */
     void setEvacuated(const DataCentreId &dataCentre, bool isEvacuated);
 
-    /** From now on every answer ends its connection. */
+    /** From now on each connection is closed after its response. */
     void startDraining() { m_leaving = true; }
-    /** New requests are refused as not run: they would outlive the process. */
+    /** New requests are rejected as not run, as they couldn't complete before the shutdown. */
     void refuseNewRequests() { m_context.refusesNew = true; }
-    /** No new connections; those that carry nothing are closed. */
+    /** Stops accepting connections and closes the idle ones. */
     void stopListening();
     std::size_t openRequests() const { return m_exchanges.size(); }
     std::size_t callerConnections() const { return m_connections.size(); }
@@ -51,15 +52,15 @@
     TargetTable &targets() { return m_targets; }
     Dispatcher &dispatcher() { return m_dispatcher; }
     CustomerRateLimiter &limits() { return m_limits; }
-    /** Without one, this daemon takes itself for alone. */
+    /** Without a messenger, the daemon assumes that it is the only one. */
     void setLimitMessenger(LimitMessenger &messenger);
-    /** Without one, no request is suspected of crashing targets. */
+    /** Without a guard, no request is quarantined. */
     void setSuspectGuard(SuspectGuard &guard) { m_context.suspects = &guard; }
-    /** To be called when the limits were told something. */
+    /** Must be called after limits() received a message or an update. */
     void scheduleLimitReview();
-    /** `changed` is called when this daemon's load or waiting requests have changed. */
+    /** `changed` is called when this daemon's load or queue may have changed. */
     void setLoadListener(std::function<void()> changed) { m_loadChanged = std::move(changed); }
-    /** Looks for room for what waits, after the present event. */
+    /** Dispatches waiting requests after the current event. */
     void scheduleReview();
 
 private:
--- a/packages/gateway/apricothook/gateway/apricothook_gateway_context.hpp
+++ b/packages/gateway/apricothook/gateway/apricothook_gateway_context.hpp
@@ -20,7 +20,7 @@
 
 namespace Apricothook {
 
-/** What all requests of the gateway share; lives as long as the gateway. */
+/** State shared by all requests of the gateway; lives as long as the gateway. */
 struct GatewayContext
 {
     EventLoop &loop;
@@ -37,21 +37,21 @@
     CrashWatch &crashes;
     /** Never null. */
     SuspectGuard *suspects;
-    /** Null until the first configuration is known. */
+    /** Null until the first configuration is received. */
     std::shared_ptr<const RouteTable> routes;
-    /** Daemons that are believed to serve, this one with them. */
+    /** Number of live daemons, including this one. */
     std::size_t members = 1;
-    /** Daemons among which the fleet's bounds are divided; unknown after a start. */
+    /** Number of daemons that share the fleet-wide bounds; unknown after a start. */
     std::optional<std::size_t> fleetSize;
-    /** The process is about to end. */
+    /** The process is shutting down. */
     bool refusesNew = false;
-    /** When this process began to serve. */
+    /** When the gateway was created. */
     const Instant started {};
     std::map<ServiceId, RetryBudgetShare> retries;
     RouteUrgency urgency;
     SizeOrder sizes;
     LimitReserve limitReserve;
-    /** Called when a request waits for its customer's units. */
+    /** Called when a request starts to wait for its customer's units. */
     std::function<void()> limitAsked;
     /** Called when a slot of a target may have become free. */
     std::function<void()> roomFreed;
--- a/packages/gateway/apricothook/gateway/apricothook_request_end.hpp
+++ b/packages/gateway/apricothook/gateway/apricothook_request_end.hpp
@@ -4,7 +4,7 @@
 
 namespace Apricothook {
 
-/** Why a request is refused or fails; the log and docs/OPERATIONS.md name it the same way. */
+/** How a request ended; nameOf() gives the names used in the log and in docs/OPERATIONS.md. */
 enum class RequestEnd {
     Answered,
     NoConfiguration,
--- a/packages/gateway/apricothook/gateway/apricothook_suspect_guard.hpp
+++ b/packages/gateway/apricothook/gateway/apricothook_suspect_guard.hpp
@@ -8,20 +8,20 @@
 
 namespace Apricothook {
 
-/** Knows which requests crash the targets that run them. */
+/** Quarantines requests that crash the targets that run them. */
 class SuspectGuard
 {
 public:
     virtual ~SuspectGuard() = default;
-    /** For how long the request is kept from targets; nothing when it may be sent now. */
+    /** The remaining quarantine of the request; nothing if it may be sent. */
     virtual std::optional<Duration> quarantine(Fingerprint request) = 0;
-    /** A target ran the request to its end. */
+    /** Records that a target completed the request. */
     virtual void recordAnswer(Fingerprint request) = 0;
-    /** The requests were lost with the target. */
+    /** Records that the target crashed while it ran the requests. */
     virtual void recordCrash(const TargetId &target, const std::vector<Fingerprint> &requests) = 0;
 };
 
-/** Suspects nobody. */
+/** Quarantines nothing. */
 class NullSuspectGuard : public SuspectGuard
 {
 public:
--- a/packages/gateway/apricothook/gateway/apricothook_target_channel.cpp
+++ b/packages/gateway/apricothook/gateway/apricothook_target_channel.cpp
@@ -54,7 +54,7 @@
     if (!m_socket.isOpen())
         return;
     m_loop.cancel(m_connectTimer);
-    // Reset, not an orderly end: the target must see at once that nobody waits.
+    // A reset lets the target detect at once that the response is no longer needed.
     m_socket.abort();
     m_owner.onChannelClosed(*this);
 }
@@ -90,7 +90,7 @@
         const std::string body = m_reader.takeBody();
         if (!m_isStray && !body.empty())
             m_events->onAnswerBody(body);
-        // The events may have cancelled the request.
+        // The handler may have cancelled the request.
         if (!m_events || !m_reader.isComplete())
             return;
         if (m_isStray)
@@ -123,8 +123,8 @@
 
 void TargetChannel::completeAnswer(bool hasMoreBytes)
 {
-    // An answer may come before the whole request was sent. The target would read the next request
-    // as the rest of this one's body, so such a channel isn't used again.
+    // A response may arrive before the request was sent completely. The target would then read the
+    // next request as the rest of this body, so the channel isn't reused.
     const bool reusable = m_reader.head().isKeepAlive && !m_reader.head().endsWithConnection
         && m_socket.isOpen() && m_socket.unsentBytes() == 0 && !hasMoreBytes;
     TargetAnswerEvents *events = std::exchange(m_events, nullptr);
--- a/packages/gateway/apricothook/gateway/apricothook_target_channel.hpp
+++ b/packages/gateway/apricothook/gateway/apricothook_target_channel.hpp
@@ -9,14 +9,14 @@
 
 namespace Apricothook {
 
-/** Why a channel gave no whole answer. */
+/** Why no complete response was received. */
 enum class ChannelFailure {
     NotConnected, ///< No byte of the request was sent.
-    Broken,       ///< The connection ended within the answer or before it.
-    Malformed,    ///< The bytes aren't an answer.
+    Broken,       ///< The connection ended before or within the response.
+    Malformed,    ///< The bytes aren't a valid response.
 };
 
-/** Is told of the answer to one request. */
+/** Receives the response to one request. */
 class TargetAnswerEvents
 {
 public:
@@ -29,13 +29,13 @@
 
 class TargetChannel;
 
-/** Gets channels back when they are idle or closed. */
+/** Owns the channels; notified when they become idle or closed. */
 class TargetChannelOwner
 {
 public:
     virtual ~TargetChannelOwner() = default;
     virtual void onChannelIdle(TargetChannel &channel) = 0;
-    /** May not destroy the channel before the present event of the loop is over. */
+    /** Must not destroy the channel during the current event of the loop. */
     virtual void onChannelClosed(TargetChannel &channel) = 0;
     virtual void onStrayAnswer(const TargetChannel &channel) = 0;
 };
@@ -43,16 +43,16 @@
 /**
  * A connection to one target that carries one request at a time.
  *
- * A faulty target sends more than it was asked for: bytes behind a complete answer, or a second
- * answer where the next request's is due, which would reach a stranger. So bytes on an idle channel
- * close it, and an answer that names another request is read to its end and dropped.
+ * A faulty target may send bytes after a complete response, or a second response that would be
+ * taken for the response to the next request and reach another caller. Bytes on an idle channel
+ * therefore close it, and a response with the id of another request is read and discarded.
  */
 class TargetChannel : private StreamSocketEvents
 {
 public:
-    /** Round trips take milliseconds; beyond this the target is down or its queue is full. */
+    /** A round trip takes milliseconds; a slower target is down or its listen queue is full. */
     static constexpr std::chrono::milliseconds ConnectTimeout {150};
-    /** Answers of others that are passed over before the channel is given up. */
+    /** Responses to other requests that are discarded before the channel is closed. */
     static constexpr unsigned MostStrayAnswers = 2;
 
     TargetChannel(EventLoop &loop, const WireProtocol &dialect, TargetChannelOwner &owner,
@@ -61,10 +61,10 @@
     TargetChannel(const TargetChannel &) = delete;
     TargetChannel &operator=(const TargetChannel &) = delete;
 
-    /** `answersHead`: the request's method is HEAD. */
+    /** `answersHead`: the request's method is HEAD, so the response has no body. */
     void start(const RequestKey &request, std::string_view bytes, bool answersHead,
                TargetAnswerEvents &events);
-    /** Ends the request; a target drops what it runs when its connection closes. */
+    /** Cancels the request by closing the connection, on which the target stops working. */
     void cancel();
     void setReading(bool reading) { m_socket.setReading(reading); }
     void close();
@@ -72,7 +72,7 @@
     const TargetEntry &target() const { return m_target; }
     bool isIdle() const { return !m_events && m_socket.isOpen(); }
     Instant idleSince() const { return m_idleSince; }
-    /** How long the target said it keeps an idle connection. */
+    /** The target's keep-alive timeout, if it stated one. */
     std::optional<Duration> kept() const { return m_kept; }
 
 private:
--- a/packages/gateway/apricothook/gateway/internal/apricothook_attempt.hpp
+++ b/packages/gateway/apricothook/gateway/internal/apricothook_attempt.hpp
@@ -10,7 +10,7 @@
 
 class TargetChannel;
 
-/** The send to one target that is under way. */
+/** The current attempt: a request sent to one target. */
 struct Attempt
 {
     TargetEntry target;
--- a/packages/gateway/apricothook/gateway/internal/apricothook_attempt_failure.hpp
+++ b/packages/gateway/apricothook/gateway/internal/apricothook_attempt_failure.hpp
@@ -6,10 +6,10 @@
 
 namespace Apricothook::AttemptFailure {
 
-/** Nothing was sent, so the request hasn't arrived. */
+/** No byte was sent, so the target didn't receive the request. */
 constexpr std::string_view NotConnected = "not-connected";
 
-/** The word of the log for a channel's failure. */
+/** The cause of a channel failure as it is logged. */
 constexpr std::string_view causeOf(ChannelFailure failure)
 {
     switch (failure) {
--- a/packages/gateway/apricothook/gateway/internal/apricothook_request_admission.cpp
+++ b/packages/gateway/apricothook/gateway/internal/apricothook_request_admission.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/** When there is nothing to reckon with. */
+/** Used if nothing is known about when the request could be served. */
 constexpr std::chrono::milliseconds UsualRetryAfter {500};
 
 Result<void, AdmissionRefusal> findRoute(GatewayContext &context, AdmittedRequest &request)
@@ -37,8 +37,8 @@
     request.size = {request.fields.promptTokens, request.fields.expectedOutputTokens / perEvent,
                     route.isStream};
     const Duration patience = request.fields.timeout.value_or(route.timeout);
-    // The caller's time runs while its body comes; a target that was handed the whole of it would
-    // work on when the caller has left.
+    // The caller's timeout also covers the upload of the body. A target that was given the full
+    // timeout after the upload would still work after the caller has disconnected.
     request.deadline = begun + std::min(patience, route.timeout);
 }
 
--- a/packages/gateway/apricothook/gateway/internal/apricothook_request_admission.hpp
+++ b/packages/gateway/apricothook/gateway/internal/apricothook_request_admission.hpp
@@ -10,26 +10,26 @@
 
 namespace Apricothook {
 
-/** A request with all that is known of it before a target is chosen. */
+/** A request with its route, customer, size and deadline, before a target is chosen. */
 struct AdmittedRequest
 {
     RequestFields fields;
-    /** The configuration that it came under, and under which it ends. */
+    /** The configuration at the arrival of the request; used until the request ends. */
     std::shared_ptr<const RouteTable> routes;
     const RouteRule *route = nullptr;
-    /** Null on a public route without a key. */
+    /** Null for a request without a valid key, where the route allows that. */
     const CustomerRule *customer = nullptr;
     ServiceId service;
     Tier tier;
     RequestSize size;
     Instant deadline {};
-    /** Drawn once, 0 to 1; decides whether a large request counts as a usual one. */
+    /** Random number from 0 to 1, drawn once; exempts some large requests from the size order. */
     double randomDraw = 1;
 
     Generation generation() const;
 };
 
-/** Why a request isn't admitted, and what its caller hears. */
+/** Why a request isn't admitted, and the response to its caller. */
 struct AdmissionRefusal
 {
     RequestEnd end = RequestEnd::BadRequest;
@@ -37,11 +37,11 @@
     std::optional<Duration> retryAfter;
 };
 
-/** Finds the request's route and customer. What was read by then is in `request`, for the log. */
+/** Fills `request`; if it isn't admitted, with the fields read so far, for the log. */
 Result<void, AdmissionRefusal> admit(const ReceivedRequest &received, GatewayContext &context,
                                      AdmittedRequest &request);
 
-/** What an admitted request with a customer asks of the customer's limit. */
+/** The units that an admitted request needs from its customer's limit. */
 UnitDemand limitClaim(GatewayContext &context, const AdmittedRequest &request);
 
 } // namespace Apricothook
--- a/packages/gateway/apricothook/gateway/internal/apricothook_request_fingerprint.hpp
+++ b/packages/gateway/apricothook/gateway/internal/apricothook_request_fingerprint.hpp
@@ -4,7 +4,7 @@
 
 namespace Apricothook {
 
-/** Tells a request that comes again, under another id and at any daemon. */
+/** Hash of the request's content; equal for repetitions under other ids, on any daemon. */
 Fingerprint fingerprintOf(const ReceivedRequest &received, const AdmittedRequest &admitted);
 
 } // namespace Apricothook
--- a/packages/gateway/apricothook/gateway/internal/apricothook_request_rank.cpp
+++ b/packages/gateway/apricothook/gateway/internal/apricothook_request_rank.cpp
@@ -12,7 +12,7 @@
     return std::chrono::duration<double, std::milli>(whole).count();
 }
 
-/** The length of a plain answer isn't known beforehand. */
+/** Only streams are ordered by size: the length of other responses isn't known beforehand. */
 bool isOrderedBySize(const GatewayContext &context, const AdmittedRequest &request)
 {
     return context.policies.sizeOrder && request.size.isStream;
@@ -35,7 +35,7 @@
     const int level = isOrderedBySize(context, request)
         ? context.sizes.level(route.name, expectedTime(context, request), request.randomDraw)
         : 0;
-    // Moved down by as much as a small request may go up, so that no level is cut off.
+    // The offset keeps the rank from becoming negative for the smallest requests.
     const int rank = ofRoute.rank() + SizeOrder::MostLevels + level;
     return {request.tier, Tier(static_cast<std::uint8_t>(std::min<int>(rank, LowestTierRank)))};
 }
--- a/packages/gateway/apricothook/gateway/internal/apricothook_request_rank.hpp
+++ b/packages/gateway/apricothook/gateway/internal/apricothook_request_rank.hpp
@@ -4,12 +4,12 @@
 
 namespace Apricothook {
 
-/** Learns from a request that has just come how large its route's requests are. */
+/** Adds the size of a new request to the statistics of its route. */
 void noteSize(GatewayContext &context, const AdmittedRequest &request);
 
 /**
- * How urgent a request is among those that wait for its service: its customer's tier, then its
- * route's worth for its time, then its own size.
+ * Priority of a request in its service's queue: ordered by the customer's tier, then by the route's
+ * worth per service time, then by the request's size.
  */
 RequestRank rankOf(const GatewayContext &context, const AdmittedRequest &request);
 
--- a/packages/gateway/apricothook/gateway/internal/apricothook_request_record.hpp
+++ b/packages/gateway/apricothook/gateway/internal/apricothook_request_record.hpp
@@ -10,7 +10,7 @@
 
 namespace Apricothook {
 
-/** All that is told of a request when it ends. */
+/** The data that is logged and counted when a request ends. */
 struct RequestRecord
 {
     RequestEnd end = RequestEnd::Answered;
@@ -21,21 +21,21 @@
     Tier tier;
     Generation generation;
     unsigned status = 0;
-    /** Sends to targets, with those that a target refused. */
+    /** Sends to targets, including those that a target refused. */
     unsigned sends = 0;
     bool mayHaveRun = false;
     Duration took {};
-    /** Until the deadline; negative after it. */
+    /** Time until the deadline; negative after it. */
     Duration left {};
-    /** From arrival to the first byte of the answer. */
+    /** From arrival to the first byte of the response. */
     std::optional<Duration> first;
-    /** Set when there was no room. */
+    /** Set if the dispatcher refused the request. */
     std::optional<RefusalDetails> refusal;
-    /** What decided whether the customer's limit had its units; unset where there is none. */
+    /** The decision of the customer's rate limit; unset if none was needed. */
     std::optional<LimitDecision> limit;
 };
 
-/** Counts the request and writes its last line. */
+/** Updates the metrics and writes the request's final log line. */
 void recordRequest(const RequestRecord &record, LogWriter &log, Metrics &metrics);
 
 } // namespace Apricothook
--- a/packages/gateway/tests/apricothook_gateway_bench.cpp
+++ b/packages/gateway/tests/apricothook_gateway_bench.cpp
@@ -41,7 +41,7 @@
     : bounds(testBounds())
     , gateway(loop, dialect, random, log, metrics, bounds, DataCentreId("here"))
 {
-    // Long enough for the gateway to have its whole part of the retry budget.
+    // The gateway's share of the retry budget grows to its full size over one window.
     clock.advance(bounds.retryWindow);
     static_cast<void>(gateway.listen({"127.0.0.1", 0}).value());
     gateway.setConfiguration(std::make_shared<const RouteTable>(configuration()));
--- a/packages/gateway/tests/apricothook_gateway_bench.hpp
+++ b/packages/gateway/tests/apricothook_gateway_bench.hpp
@@ -14,7 +14,7 @@
 
 namespace Apricothook {
 
-/** Keeps the numbers of all events. */
+/** Records the numbers of all logged events. */
 class EventNumbers : public LogWriter
 {
 public:
@@ -24,7 +24,7 @@
     std::vector<int> numbers;
 };
 
-/** Always the same; a route's first service gets everything. */
+/** Always returns zero, which selects a route's first service. */
 class FixedRandom : public RandomSource
 {
 public:
@@ -32,27 +32,27 @@
 };
 
 /**
- * A gateway with scripted targets and callers on one loop. The clock stands still unless a test
- * moves it, so that time limits pass without waiting.
+ * A gateway with scripted targets and callers on one event loop. Tests advance the clock by hand,
+ * so timeouts expire without waiting.
  */
 class GatewayBench
 {
 public:
-    /** `targets` targets of the service "s". */
+    /** Registers `targets` targets for the service "s". */
     explicit GatewayBench(std::size_t targets = 1);
 
-    /** A route "/ID/" of its own for each kind; names are the prefixes without slashes. */
+    /** One route per kind; the name of a route is its prefix without the slashes. */
     static ServingConfiguration configuration();
-    /** Runs the loop until `done`; false when that doesn't come. */
+    /** Runs the loop until `done` returns true; false after a bounded number of iterations. */
     bool until(const std::function<bool()> &done);
-    /** Runs the loop until nothing has happened for some rounds. */
+    /** Runs the loop for a fixed number of iterations, so that pending events are processed. */
     void settle();
     HeldConnection &connect();
-    /** A GET for the route, or with a body a POST. */
+    /** A GET request for the route, or a POST request if there is a body. */
     static std::string request(const std::string &route, const std::string &id,
                                const std::string &body = {});
     ScriptedTarget &target(std::size_t index) { return *targets.at(index); }
-    /** The target that got the `count`-th request, once it is there. */
+    /** Waits for a target that has received at least `count` requests; null if there is none. */
     ScriptedTarget *targetWith(std::size_t count = 1);
 
     ManualClock clock;
@@ -67,11 +67,11 @@
     std::vector<std::unique_ptr<HeldConnection>> callers;
 };
 
-/** A signed 200 answer with a length. */
+/** A signed 200 response with a Content-Length. */
 std::string wholeAnswer(const std::string &id, const std::string &body);
-/** The head of a signed stream in chunks. */
+/** The head of a signed, chunked stream. */
 std::string streamHead(const std::string &id);
-/** One event as a chunk. */
+/** A stream event as one chunk. */
 std::string eventChunk(unsigned id);
 
 } // namespace Apricothook
--- a/packages/gateway/tests/apricothook_gateway_caller_tests.cpp
+++ b/packages/gateway/tests/apricothook_gateway_caller_tests.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/** The status line's number of the first answer; zero when there is none. */
+/** The status of the first response; zero if there is none. */
 int statusOf(const HeldConnection &caller)
 {
     constexpr std::size_t Start = 9;
@@ -23,10 +23,10 @@
 
 } // namespace
 
-TEST_CASE("a request whose end could be read in two ways is refused")
+TEST_CASE("a request with ambiguous framing is rejected")
 {
-    // The caller hears 400 and the connection ends. A reader on the way that takes the other
-    // reading would take the rest of such a body for a request of its own.
+    // Guards against request smuggling: a proxy on the path that frames such a request differently
+    // would treat the rest of its body as another request. Expected: 400, and nothing is forwarded.
     GatewayBench bench;
     const std::string start = "POST /once/x HTTP/1.1\r\nHost: host\r\nId: a\r\n";
     const std::string smuggled = "GET /once/y HTTP/1.1\r\nHost: host\r\nId: b\r\n\r\n";
@@ -46,7 +46,7 @@
     CHECK(bench.target(0).requests() == 0);
 }
 
-TEST_CASE("what a caller may send is limited")
+TEST_CASE("oversized and invalid requests are rejected")
 {
     GatewayBench bench;
     CHECK(answerTo(bench, GatewayBench::request("once", "a", std::string(3000, 'x'))) == 413);
@@ -59,10 +59,10 @@
     CHECK(bench.target(0).requests() == 0);
 }
 
-TEST_CASE("a caller that sends its head too slowly is cut off")
+TEST_CASE("a caller that sends its head too slowly is disconnected")
 {
-    // The caller hears 408 after the time for a head, and its connection ends. A few such callers
-    // would else hold every descriptor of the daemon.
+    // Otherwise slow callers could exhaust the daemon's descriptors. Expected: 408 after the head
+    // timeout, then the connection is closed.
     GatewayBench bench;
     HeldConnection &caller = bench.connect();
     caller.socket.send("GET /once/x HTTP/1.1\r\nHost: ho");
@@ -73,9 +73,9 @@
     CHECK(bench.until([&] { return caller.end.has_value(); }));
 }
 
-TEST_CASE("a request that its caller didn't finish reaches no target")
+TEST_CASE("an incomplete request is not forwarded")
 {
-    // The caller sends half a body and leaves. Nothing of it may run.
+    // The caller disconnects after half of the body; the request must not run.
     GatewayBench bench;
     HeldConnection &caller = bench.connect();
     caller.socket.send(
@@ -87,7 +87,7 @@
     CHECK(bench.target(0).requests() == 0);
 }
 
-TEST_CASE("an idle connection is closed after the idle time only")
+TEST_CASE("an idle connection is closed after the idle timeout and not before")
 {
     GatewayBench bench;
     HeldConnection &caller = bench.connect();
@@ -99,10 +99,10 @@
     CHECK(bench.until([&] { return caller.end.has_value(); }));
 }
 
-TEST_CASE("a request that meets the closing of its connection isn't passed on")
+TEST_CASE("a request that arrives while its connection is being closed is not forwarded")
 {
-    // The caller's request and the daemon's close cross. The caller sees its connection end without
-    // an answer, and may send again: the request must not run here.
+    // The caller's request and the daemon's close cross on the wire. The caller gets no response
+    // and may retry elsewhere, so the request must not run here.
     GatewayBench bench;
     HeldConnection &caller = bench.connect();
     bench.settle();
@@ -113,10 +113,10 @@
     CHECK(bench.target(0).requests() == 0);
 }
 
-TEST_CASE("a caller that goes on sending after a refusal still gets the refusal")
+TEST_CASE("a caller that continues sending after a rejection receives the rejection")
 {
-    // The caller sends a body that is too long and reads the answer only then. A close with unread
-    // bytes would reset the connection and take the answer with it.
+    // The caller sends a body that is too large and reads the response only afterwards. Closing
+    // with unread bytes would reset the connection and discard the response.
     GatewayBench bench;
     HeldConnection &caller = bench.connect();
     caller.socket.send(GatewayBench::request("once", "a", std::string(3000, 'x')));
@@ -129,7 +129,7 @@
     CHECK(statusOf(caller) == 413);
 }
 
-TEST_CASE("a chunked body reaches the target whole")
+TEST_CASE("a chunked body is forwarded completely")
 {
     GatewayBench bench;
     HeldConnection &caller = bench.connect();
@@ -141,7 +141,7 @@
     CHECK(bench.target(0).connection(0).received.ends_with("abcde"));
 }
 
-TEST_CASE("headers of one connection aren't passed on")
+TEST_CASE("hop-by-hop headers are not forwarded")
 {
     GatewayBench bench;
     HeldConnection &caller = bench.connect();
@@ -156,7 +156,7 @@
     CHECK_FALSE(run.has("TE:"));
 }
 
-TEST_CASE("a leaving daemon ends each connection with its answer")
+TEST_CASE("a daemon that shuts down closes each connection after its response")
 {
     GatewayBench bench;
     HeldConnection &caller = bench.connect();
@@ -170,7 +170,7 @@
     CHECK(caller.has("last"));
 }
 
-TEST_CASE("a target isn't handed the time that a slow body took")
+TEST_CASE("the upload time of a slow body is deducted from the timeout for the target")
 {
     GatewayBench bench;
     HeldConnection &caller = bench.connect();
@@ -184,7 +184,7 @@
     CHECK(target->connection(0).has("Patience: 300\r\n"));
 }
 
-TEST_CASE("a request whose time is over before its body is whole is refused as not run")
+TEST_CASE("a request that times out before its body is complete is rejected as not run")
 {
     GatewayBench bench;
     HeldConnection &caller = bench.connect();
@@ -198,7 +198,7 @@
     CHECK(bench.target(0).requests() == 0);
 }
 
-TEST_CASE("a connection's idle time isn't taken from its next request")
+TEST_CASE("the idle time of a connection is not deducted from the timeout of its next request")
 {
     GatewayBench bench;
     HeldConnection &caller = bench.connect();
--- a/packages/gateway/tests/apricothook_gateway_crash_tests.cpp
+++ b/packages/gateway/tests/apricothook_gateway_crash_tests.cpp
@@ -41,7 +41,7 @@
 
 } // namespace
 
-TEST_CASE("requests that are lost with a target are told together")
+TEST_CASE("all requests that are lost in a crash are reported together")
 {
     CrashBench bench;
     HeldConnection &first = bench.connect();
@@ -60,7 +60,7 @@
     CHECK(bench.guard.answered.empty());
 }
 
-TEST_CASE("a target that drops a connection and takes others hasn't crashed")
+TEST_CASE("a target that drops a connection but accepts new ones is not reported as crashed")
 {
     CrashBench bench;
     HeldConnection &caller = bench.connect();
@@ -75,7 +75,7 @@
     CHECK(bench.guard.crashes.empty());
 }
 
-TEST_CASE("a quarantined request is refused as not run, with a time to come back")
+TEST_CASE("a quarantined request is rejected as not run, with a Retry-After")
 {
     CrashBench bench;
     HeldConnection &caller = bench.connect();
@@ -85,7 +85,7 @@
     target->connection(0).socket.send(wholeAnswer("a", "fine"));
     REQUIRE(bench.until([&] { return caller.has("fine"); }));
     REQUIRE(bench.guard.answered.size() == 1);
-    // The same request comes again under another id.
+    // The same request with another id has the same fingerprint.
     bench.guard.quarantined.insert(bench.guard.answered.front());
     HeldConnection &again = bench.connect();
     again.socket.send(GatewayBench::request("idempotent", "b", "poison"));
@@ -93,7 +93,7 @@
     CHECK(again.has("HTTP/1.1 503 "));
     CHECK(again.has("Retry-After: "));
     CHECK(bench.target(0).requests() == 1);
-    // Another body is another request.
+    // A different body gives a different fingerprint.
     HeldConnection &other = bench.connect();
     other.socket.send(GatewayBench::request("idempotent", "c", "harmless"));
     CHECK(bench.until([&] { return bench.target(0).requests() == 2; }));
--- a/packages/gateway/tests/apricothook_gateway_limit_tests.cpp
+++ b/packages/gateway/tests/apricothook_gateway_limit_tests.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/** Keeps what this daemon asks others for its customers. */
+/** Records the requests for units that the daemon sends to other daemons. */
 class HeldMessages : public LimitMessenger
 {
 public:
@@ -21,7 +21,7 @@
     std::vector<std::pair<Endpoint, UnitsRequest>> asks;
 };
 
-/** A gateway whose customer's units another daemon grants. */
+/** A gateway with a customer whose grantor is another daemon. */
 struct LimitBench : GatewayBench
 {
     LimitBench()
@@ -49,7 +49,7 @@
                            + "\r\n\r\n");
         return caller;
     }
-    /** Waits for the question, and answers it. */
+    /** Waits for a request for units and answers it. */
     bool answer(UnitsOutcome outcome)
     {
         if (!until([&] { return !messages.asks.empty(); }))
@@ -70,7 +70,7 @@
 
 } // namespace
 
-TEST_CASE("a request runs when its customer's grantor gives it units, not before")
+TEST_CASE("a request runs only after the customer's grantor has granted units")
 {
     LimitBench bench;
     bench.send("a");
@@ -82,7 +82,7 @@
     CHECK(bench.targetWith());
 }
 
-TEST_CASE("a caller whose customer is over its limit hears when the fleet will have units")
+TEST_CASE("a caller over its customer's limit gets 429 with the grantor's Retry-After")
 {
     LimitBench bench;
     HeldConnection &caller = bench.send("a");
@@ -92,10 +92,11 @@
     CHECK(bench.target(0).requests() == 0);
 }
 
-TEST_CASE("a caller isn't told that its customer is over its limit when nobody knows")
+TEST_CASE("a caller gets 503 instead of 429 if no grantor responds")
 {
-    // The caller hears 503, not run, and comes back. The grantor is dead; without an overshoot the
-    // daemon has no credit for such a time, and a request without units must not run.
+    // The grantor is dead. Without an overshoot the daemon has no credit to admit requests on its
+    // own, and a request without units must not run. Whether the customer is over its limit is
+    // unknown, so the response is 503 (not run).
     LimitBench bench;
     for (int id = 0; id < 40; ++id)
         bench.send("a" + std::to_string(id));
@@ -111,9 +112,9 @@
     CHECK(bench.target(0).requests() == 0);
 }
 
-TEST_CASE("a caller that leaves while its request waits for units leaves nothing behind")
+TEST_CASE("a caller that disconnects while its request waits for units leaves no state behind")
 {
-    // Its units come later and nothing runs; the next request is served as ever.
+    // The units are granted after the disconnect. Nothing may run, and the next request is served.
     LimitBench bench;
     HeldConnection &caller = bench.send("a");
     REQUIRE(bench.until([&] { return !bench.messages.asks.empty(); }));
--- a/packages/gateway/tests/apricothook_gateway_plain_tests.cpp
+++ b/packages/gateway/tests/apricothook_gateway_plain_tests.cpp
@@ -4,7 +4,7 @@
 
 using namespace Apricothook;
 
-TEST_CASE("a plain answer is passed on unchanged")
+TEST_CASE("a response that is not a stream is forwarded unchanged")
 {
     GatewayBench bench;
     HeldConnection &caller = bench.connect();
@@ -20,7 +20,7 @@
     CHECK(caller.has("Signed: yes\r\n"));
 }
 
-TEST_CASE("connections to callers and targets serve one request after the other")
+TEST_CASE("connections to callers and targets are reused for consecutive requests")
 {
     GatewayBench bench;
     HeldConnection &caller = bench.connect();
@@ -34,10 +34,10 @@
     CHECK(bench.target(0).connections.size() == 1);
 }
 
-TEST_CASE("an answer without a length ends with an orderly end only")
+TEST_CASE("a response without a length is complete only after an orderly close")
 {
-    // The caller sees the whole answer if its target closes in order. After a reset nobody knows
-    // whether more was to come, so the caller hears that the request may have run.
+    // If the target closes in order, the response is forwarded. After a reset it may be truncated,
+    // so the caller gets 502: the request may have run.
     for (const bool orderly : {true, false}) {
         CAPTURE(orderly);
         GatewayBench bench;
@@ -57,10 +57,10 @@
     }
 }
 
-TEST_CASE("a second answer never reaches the next request")
+TEST_CASE("a duplicate response is not taken for the response to the next request")
 {
-    // The caller sees each request's own answer. The target answers the first request twice, the
-    // second time late, where the next request's answer is due; its id tells whose it is.
+    // The target responds to the first request twice. The duplicate arrives when the response to
+    // the second request is due; it is recognized by its id and discarded.
     GatewayBench bench;
     HeldConnection &caller = bench.connect();
     caller.socket.send(GatewayBench::request("once", "a"));
@@ -79,10 +79,10 @@
     CHECK(bench.log.count(GatewayEvent::AnswerDiscarded) == 1);
 }
 
-TEST_CASE("bytes behind an answer end the channel")
+TEST_CASE("bytes after a complete response close the channel")
 {
-    // The caller sees its answer alone. The target sends a second answer right behind the first;
-    // the channel is closed, so that the next request doesn't meet it.
+    // The target sends a second response directly after the first. Only the first is forwarded, and
+    // the channel is closed so that the second can't be taken for the next response.
     GatewayBench bench;
     HeldConnection &caller = bench.connect();
     caller.socket.send(GatewayBench::request("once", "a"));
@@ -94,10 +94,10 @@
     CHECK_FALSE(caller.has("again"));
 }
 
-TEST_CASE("an answer that comes before the request was read ends the channel")
+TEST_CASE("a response that arrives before the request was sent closes the channel")
 {
-    // The caller sees the early answer. The target reads on where it stopped, so the rest of the
-    // body is all that may follow on this channel: it isn't used for another request.
+    // The early response is forwarded. The target would read the next request on this channel as
+    // the rest of the body, so the channel must not be reused.
     GatewayBench bench;
     bench.gateway.setConfiguration([] {
         ServingConfiguration configuration = GatewayBench::configuration();
@@ -118,10 +118,10 @@
     CHECK(bench.until([&] { return bench.target(0).connection(1).has("Id: b\r\n"); }));
 }
 
-TEST_CASE("a request that must not run twice isn't sent again after a reset")
+TEST_CASE("a request that is not idempotent is not retried after a reset")
 {
-    // The caller hears that the request may have run. Its target reads the whole request and resets
-    // the connection: nobody can tell whether it ran.
+    // The target reads the complete request and resets the connection. It is unknown whether the
+    // request ran, so the caller gets 502.
     GatewayBench bench(2);
     HeldConnection &caller = bench.connect();
     caller.socket.send(GatewayBench::request("once", "a"));
@@ -133,7 +133,7 @@
     CHECK(bench.target(0).requests() + bench.target(1).requests() == 1);
 }
 
-TEST_CASE("an idempotent request is answered by another target after a reset")
+TEST_CASE("an idempotent request is retried on another target after a reset")
 {
     GatewayBench bench(2);
     HeldConnection &caller = bench.connect();
@@ -147,10 +147,10 @@
     CHECK(bench.until([&] { return caller.has("tile"); }));
 }
 
-TEST_CASE("a request that every target refuses is said not to have run")
+TEST_CASE("a request that every target refuses is rejected as not run")
 {
-    // The caller hears that its request didn't run and when to come back. Both targets state that
-    // they had no room, so even a request that must not run twice may go to the second one.
+    // Both targets state that they had no free slot and didn't run the request, so even a request
+    // that is not idempotent is sent to the second one. The caller gets 503 with a Retry-After.
     GatewayBench bench(2);
     HeldConnection &caller = bench.connect();
     caller.socket.send(GatewayBench::request("once", "a"));
@@ -167,10 +167,10 @@
     CHECK(caller.has("Retry-After: "));
 }
 
-TEST_CASE("a request is taken to another target when the address belongs to a stranger")
+TEST_CASE("a request is retried if the address now belongs to another target")
 {
-    // The caller sees the right target's answer. Its first target ended and another service has the
-    // address now; it says so and didn't run the request.
+    // The first target has ended and another service reuses its address. That service responds with
+    // 421 and doesn't run the request, so the request is sent to the other target.
     GatewayBench bench(2);
     HeldConnection &caller = bench.connect();
     caller.socket.send(GatewayBench::request("once", "a"));
@@ -183,10 +183,10 @@
     CHECK(bench.until([&] { return caller.has("right"); }));
 }
 
-TEST_CASE("a success without the target's proof isn't passed on")
+TEST_CASE("an unsigned success response is not forwarded")
 {
-    // The caller hears that the request may have run. Something answered 200 without the proof that
-    // the answer is the target's.
+    // A 200 without the target's signature may come from another process at the address. The caller
+    // gets 502: the request may have run.
     GatewayBench bench;
     HeldConnection &caller = bench.connect();
     caller.socket.send(GatewayBench::request("once", "a"));
@@ -198,7 +198,7 @@
     CHECK_FALSE(caller.has("fake"));
 }
 
-TEST_CASE("bytes that are no answer end the request")
+TEST_CASE("a malformed response fails the request")
 {
     GatewayBench bench;
     HeldConnection &caller = bench.connect();
@@ -210,10 +210,10 @@
     CHECK(caller.has("HTTP/1.1 502 "));
 }
 
-TEST_CASE("a request without an answer ends at its route's time limit")
+TEST_CASE("a request without a response ends at the timeout of its route")
 {
-    // The caller hears at the time limit that the request may have run. Its target reads the
-    // request and stays silent; the request may not be sent elsewhere.
+    // The target reads the request and doesn't respond. The request must not be retried; the caller
+    // gets 504 at the timeout: the request may have run.
     GatewayBench bench(2);
     HeldConnection &caller = bench.connect();
     caller.socket.send(GatewayBench::request("once", "a"));
@@ -226,10 +226,10 @@
     CHECK(bench.target(0).requests() + bench.target(1).requests() == 1);
 }
 
-TEST_CASE("an idempotent request leaves a silent target")
+TEST_CASE("an idempotent request is retried if its target does not respond")
 {
-    // The caller sees the second target's answer. The first one reads the request on a connection
-    // that then carries nothing more, without a reset.
+    // The first target reads the request and sends nothing, without a reset. The caller gets the
+    // response of the second target.
     GatewayBench bench(2);
     HeldConnection &caller = bench.connect();
     caller.socket.send(GatewayBench::request("idempotent", "a"));
--- a/packages/gateway/tests/apricothook_gateway_stream_tests.cpp
+++ b/packages/gateway/tests/apricothook_gateway_stream_tests.cpp
@@ -15,7 +15,7 @@
 
 } // namespace
 
-TEST_CASE("a stream is passed on event by event")
+TEST_CASE("a stream is forwarded event by event")
 {
     GatewayBench bench;
     HeldConnection &caller = bench.connect();
@@ -33,10 +33,10 @@
     CHECK(bench.log.count(GatewayEvent::RequestAnswered) == 1);
 }
 
-TEST_CASE("a resumable stream goes on at another target within the same answer")
+TEST_CASE("a resumable stream is resumed on another target within the same response")
 {
-    // The caller sees one whole answer with each event once. Its target sends an event and a half
-    // and resets; the other target is asked to go on behind the last whole event.
+    // The first target sends one and a half events and resets the connection. The second is asked
+    // to resume after the last complete event, so the caller receives each event once.
     GatewayBench bench(2);
     HeldConnection &caller = bench.connect();
     caller.socket.send(GatewayBench::request("resumable", "a"));
@@ -54,11 +54,11 @@
     CHECK(caller.received.find("id: 2\n") == caller.received.rfind("id: 2\n"));
 }
 
-TEST_CASE("a stream that no target can go on with doesn't look complete")
+TEST_CASE("a stream that no target can resume does not look complete")
 {
-    // The caller sees its connection end without the end of the answer. The first target breaks off
-    // after an event; the one that should go on answers with an error, whose body and end must not
-    // be taken for the stream's.
+    // The first target resets the connection after an event, and the one that should resume the
+    // stream responds with an error. The error's body must not be appended to the stream, and the
+    // caller's connection must end without the last chunk.
     GatewayBench bench(2);
     HeldConnection &caller = bench.connect();
     caller.socket.send(GatewayBench::request("resumable", "a"));
@@ -78,10 +78,10 @@
     CHECK(bench.log.count(GatewayEvent::RequestFailed) == 1);
 }
 
-TEST_CASE("a stream that may not run twice ends broken with its target")
+TEST_CASE("a stream that is not resumable is aborted when its target fails")
 {
-    // The caller sees its connection end without the end of the answer, and no second target is
-    // asked: what ran may not run again.
+    // The request has run and must not run again, so there is no retry. The caller's connection
+    // ends without the last chunk.
     GatewayBench bench(2);
     HeldConnection &caller = bench.connect();
     caller.socket.send(GatewayBench::request("stream", "a"));
@@ -95,10 +95,10 @@
     CHECK(bench.target(0).requests() + bench.target(1).requests() == 1);
 }
 
-TEST_CASE("a stream that falls silent goes on at another target")
+TEST_CASE("a stalled stream is resumed on another target")
 {
-    // The caller sees a pause, then the rest. The first target's connection stays open but sends
-    // nothing more; after the longest pause another target goes on and the first run is ended.
+    // The first target's connection stays open but sends nothing more. After the stall timeout the
+    // first attempt is cancelled and another target resumes the stream.
     GatewayBench bench(2);
     HeldConnection &caller = bench.connect();
     caller.socket.send(GatewayBench::request("resumable", "a"));
@@ -115,10 +115,10 @@
     CHECK(bench.until([&] { return endsWhole(caller); }));
 }
 
-TEST_CASE("a target's work ends when its caller leaves")
+TEST_CASE("a request is cancelled at its target when the caller disconnects")
 {
-    // The caller leaves while its target works in silence. The target sees its connection end at
-    // once, so that it doesn't work for nobody.
+    // The caller disconnects before the target has sent anything. The connection to the target is
+    // closed at once, so that the target stops working on the request.
     GatewayBench bench;
     HeldConnection &caller = bench.connect();
     caller.socket.send(GatewayBench::request("stream", "a"));
@@ -129,11 +129,12 @@
     CHECK(bench.log.count(GatewayEvent::CallerGone) == 1);
 }
 
-TEST_CASE("a request at a target that has started again is lost, and said so at once")
+TEST_CASE("a request at a target that has restarted fails at once")
 {
-    // The caller of a stream that may run once hears that it may have run; that of a repeatable
-    // request gets its answer from the target's new start. The former start fell silent with both,
-    // its connections stay open, and its entry then tells another start under the same id.
+    // Connections to the earlier instance of a target may stay open without traffic; without the
+    // check the callers would wait for their deadline. The new instance is known from the target's
+    // entry. A stream that must not run twice fails with 502; an idempotent request is sent to the
+    // new instance.
     GatewayBench bench;
     HeldConnection &once = bench.connect();
     once.socket.send(GatewayBench::request("stream", "a"));
--- a/packages/gateway/tests/apricothook_scripted_peers.hpp
+++ b/packages/gateway/tests/apricothook_scripted_peers.hpp
@@ -11,7 +11,7 @@
 
 namespace Apricothook {
 
-/** One end of a connection that a test holds: keeps all bytes and how it ended. */
+/** The test's end of a connection: records the received bytes and how the connection ended. */
 class HeldConnection : public StreamSocketEvents
 {
 public:
@@ -27,17 +27,17 @@
     StreamSocket socket;
 };
 
-/** A target that answers only what the test says. */
+/** A listening target; the test sends the responses through its connections. */
 class ScriptedTarget
 {
 public:
     explicit ScriptedTarget(EventLoop &loop);
 
     Endpoint address() const { return {"127.0.0.1", m_listener->port()}; }
-    /** Whole requests that came, over all connections. */
+    /** Number of complete requests received on all connections. */
     std::size_t requests() const;
     HeldConnection &connection(std::size_t index) { return *connections.at(index); }
-    /** Resets its connections and takes no more. */
+    /** Stops listening and resets all connections. */
     void crash();
 
     std::vector<std::unique_ptr<HeldConnection>> connections;
--- a/packages/gateway/tests/apricothook_test_dialect.hpp
+++ b/packages/gateway/tests/apricothook_test_dialect.hpp
@@ -4,8 +4,7 @@
 
 namespace Apricothook {
 
-/** A wire of the tests' own: "Id", "Patience" and "Key" from callers; "Not-Run" and "Signed" back.
- */
+/** Test headers: requests have "Id", "Patience" and "Key", responses "Not-Run" and "Signed". */
 class TestDialect : public WireProtocol
 {
 public:
--- a/packages/http1/apricothook/http1/apricothook_header_list.hpp
+++ b/packages/http1/apricothook/http1/apricothook_header_list.hpp
@@ -8,7 +8,7 @@
 
 namespace Apricothook {
 
-/** One header line of an HTTP message. */
+/** One header field of an HTTP message. */
 struct HeaderLine
 {
     std::string name;
@@ -17,15 +17,15 @@
     auto operator<=>(const HeaderLine &) const = default;
 };
 
-/** Header lines in the order of the message; names compare without case. */
+/** Header fields in message order; names are case-insensitive. */
 class HeaderList
 {
 public:
     void add(std::string_view name, std::string_view value);
-    /** Replaces every line of that name. */
+    /** Replaces all fields of that name. */
     void set(std::string_view name, std::string_view value);
     void remove(std::string_view name);
-    /** The first value; nothing when there is no such line. */
+    /** The value of the first field of that name. */
     std::optional<std::string_view> find(std::string_view name) const;
     std::size_t count(std::string_view name) const;
     bool isEmpty() const { return m_headers.empty(); }
@@ -33,8 +33,8 @@
     auto end() const { return m_headers.end(); }
 
     /**
-     * Removes what concerns one connection only: the standard hop-by-hop headers, those that
-     * `Connection` names, and the length, which the next hop's writer states anew.
+     * Removes the standard hop-by-hop headers, those listed in `Connection`, and Content-Length,
+     * which is written anew for the next hop.
      */
     void removeHopByHop();
 
@@ -44,10 +44,10 @@
     std::vector<HeaderLine> m_headers;
 };
 
-/** Compares names of headers and tokens of their values. */
+/** ASCII case-insensitive comparison of header names and tokens. */
 bool equalsIgnoringCase(std::string_view left, std::string_view right);
 
-/** True when the comma-separated `list` has `token`, whatever its case. */
+/** True if the comma-separated `list` contains `token`, ignoring case. */
 bool listsToken(std::string_view list, std::string_view token);
 
 } // namespace Apricothook
--- a/packages/http1/apricothook/http1/apricothook_http_status.hpp
+++ b/packages/http1/apricothook/http1/apricothook_http_status.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-/** The status codes that the daemon gives or looks at. */
+/** Status codes that the daemon sends or evaluates. */
 namespace Apricothook::HttpStatus {
 
 constexpr unsigned Ok = 200;
--- a/packages/http1/apricothook/http1/apricothook_message_head.hpp
+++ b/packages/http1/apricothook/http1/apricothook_message_head.hpp
@@ -11,29 +11,29 @@
 struct RequestHead
 {
     std::string method;
-    /** Path and query as they were sent. */
+    /** Path and query, unchanged. */
     std::string target;
     HeaderList headers;
-    /** The connection may serve another request after this one. */
+    /** The connection is persistent. */
     bool isKeepAlive = true;
 
     auto operator<=>(const RequestHead &) const = default;
 };
 
-/** Start line and headers of an answer. */
+/** Start line and headers of a response. */
 struct ResponseHead
 {
     unsigned status = 0;
     std::string reason;
     HeaderList headers;
     bool isKeepAlive = true;
-    /** The body ends with the connection, as the answer states no length. */
+    /** The body has no length and extends to the end of the connection. */
     bool endsWithConnection = false;
 
     auto operator<=>(const ResponseHead &) const = default;
 };
 
-/** How the receiver learns where a body ends. */
+/** How the end of a body is marked. */
 struct BodyFraming
 {
     enum class Kind { Sized, Chunked, None };
@@ -41,15 +41,15 @@
     std::uint64_t bytes = 0;
 };
 
-/** The bytes of a head with the framing of its body; `headers` states no framing of its own. */
+/** Serializes a head and adds the framing header; `headers` must not contain one. */
 std::string writeRequestHead(const RequestHead &head, BodyFraming body);
 std::string writeResponseHead(const ResponseHead &head, BodyFraming body);
 
-/** One chunk of a chunked body, and the end of such a body. */
+/** Serializes one chunk of a chunked body. */
 std::string writeChunk(std::string_view bytes);
 constexpr std::string_view LastChunk = "0\r\n\r\n";
 
-/** The standard reason phrase of a status; "Status" for an unusual one. */
+/** The standard reason phrase of a status; "Status" for an unknown one. */
 std::string_view reasonPhrase(unsigned status);
 
 } // namespace Apricothook
--- a/packages/http1/apricothook/http1/apricothook_message_reader.cpp
+++ b/packages/http1/apricothook/http1/apricothook_message_reader.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-/** The first status that isn't interim. */
+/** Lower status codes are interim (1xx). */
 constexpr unsigned FirstFinalStatus = 200;
-/** Largest head of an answer; targets are trusted further than callers. */
+/** Size limit of a response head; larger than for callers, as targets are trusted more. */
 constexpr std::uint32_t LargestAnswerHead = 65536;
 
 bool hasUnclearFraming(const HeaderList &headers)
--- a/packages/http1/apricothook/http1/apricothook_message_reader.hpp
+++ b/packages/http1/apricothook/http1/apricothook_message_reader.hpp
@@ -10,15 +10,15 @@
 
 namespace Apricothook {
 
-/** Why bytes aren't a message. */
+/** Why a message couldn't be read. */
 enum class MessageError {
-    Malformed,    ///< Not HTTP/1.1, or with framing that two readers could take differently.
-    HeadTooLarge, ///< Start line and headers exceed the limit.
-    BodyTooLarge, ///< The body exceeds the limit.
-    Truncated,    ///< The connection ended within the message.
+    Malformed,    ///< Not HTTP/1.1, or with ambiguous framing.
+    HeadTooLarge, ///< Start line and headers exceed the size limit.
+    BodyTooLarge, ///< The body exceeds the size limit.
+    Truncated,    ///< The connection ended in the middle of the message.
 };
 
-/** Most bytes of a message's parts. */
+/** Size limits for the parts of a message. */
 struct MessageLimits
 {
     std::uint32_t headBytes = 16384;
@@ -29,11 +29,11 @@
 class ResponseParser;
 
 /**
- * Reads one request from bytes as they come.
+ * Incremental reader of one request.
  *
- * A request whose length could be read in two ways (a length beside chunks, two lengths, an unknown
- * transfer coding, a doubled Host) is refused: another reader on the way could take its tail for a
- * request of its own.
+ * Rejects requests with ambiguous framing (Content-Length together with Transfer-Encoding, two
+ * Content-Length headers, an unknown transfer coding, two Host headers): a proxy on the path that
+ * frames them differently could treat the end of the body as another request (request smuggling).
  */
 class RequestReader
 {
@@ -43,7 +43,7 @@
     RequestReader(RequestReader &&) noexcept;
     RequestReader &operator=(RequestReader &&) noexcept;
 
-    /** Takes bytes up to the message's end and tells how many; the rest belongs to the next one. */
+    /** Consumes bytes up to the end of the message and returns their number. */
     Result<std::size_t, MessageError> feed(std::string_view bytes);
     bool hasStarted() const;
     bool hasHead() const;
@@ -55,23 +55,23 @@
     std::unique_ptr<RequestParser> m_parser;
 };
 
-/** Reads one answer from bytes as they come; interim (1xx) answers are passed over. */
+/** Incremental reader of one response; skips interim (1xx) responses. */
 class ResponseReader
 {
 public:
-    /** `answersHead`: the request's method was HEAD, so that no body follows. */
+    /** `answersHead`: the request's method was HEAD, so the response has no body. */
     explicit ResponseReader(bool answersHead);
     ~ResponseReader();
     ResponseReader(ResponseReader &&) noexcept;
     ResponseReader &operator=(ResponseReader &&) noexcept;
 
     Result<std::size_t, MessageError> feed(std::string_view bytes);
-    /** The connection ended in order; an error when the answer wasn't complete with that. */
+    /** Signals the orderly end of the connection; an error if the response is incomplete. */
     Result<void, MessageError> finish();
     bool hasHead() const;
     bool isComplete() const;
     const ResponseHead &head() const;
-    /** The body's bytes that came since the last call. */
+    /** The body bytes received since the last call. */
     std::string takeBody();
 
 private:
--- a/packages/http1/apricothook/http1/internal/apricothook_head_collector.hpp
+++ b/packages/http1/apricothook/http1/internal/apricothook_head_collector.hpp
@@ -11,8 +11,8 @@
 namespace Http = boost::beast::http;
 
 /**
- * Boost.Beast's incremental parser with its parts gathered into a head and a body. Beast needs a
- * field as a whole, so bytes that it didn't take are kept and shown again.
+ * Collects the output of Boost.Beast's incremental parser in a head and a body. Beast consumes only
+ * whole header fields, so unconsumed bytes are buffered and passed to it again with the next ones.
  */
 template <bool IsRequest, typename Head>
 class HeadCollector : public Http::basic_parser<IsRequest>
--- a/packages/http1/tests/apricothook_message_reader_tests.cpp
+++ b/packages/http1/tests/apricothook_message_reader_tests.cpp
@@ -11,7 +11,7 @@
 
 } // namespace
 
-TEST_CASE("a request is read the same wherever its bytes are cut")
+TEST_CASE("a request is parsed independently of how its bytes are split")
 {
     for (std::size_t cut = 0; cut <= Chunked.size(); ++cut) {
         CAPTURE(cut);
@@ -25,7 +25,7 @@
     }
 }
 
-TEST_CASE("the bytes behind a request belong to the next one")
+TEST_CASE("bytes after the end of a request are not consumed")
 {
     RequestReader reader({});
     const std::string first = "GET / HTTP/1.1\r\nHost: h\r\n\r\n";
@@ -33,7 +33,7 @@
     CHECK(reader.isComplete());
 }
 
-TEST_CASE("interim answers are passed over")
+TEST_CASE("interim responses are skipped")
 {
     ResponseReader reader(false);
     const std::string text
@@ -43,14 +43,14 @@
     CHECK(reader.takeBody() == "ok");
 }
 
-TEST_CASE("an answer to HEAD has no body whatever length it states")
+TEST_CASE("a response to HEAD has no body even with a Content-Length")
 {
     ResponseReader reader(true);
     REQUIRE(reader.feed("HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\n"));
     CHECK(reader.isComplete());
 }
 
-TEST_CASE("an answer that ends early isn't whole")
+TEST_CASE("a response that ends early is reported as truncated")
 {
     ResponseReader sized(false);
     REQUIRE(sized.feed("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nabc"));
@@ -64,7 +64,7 @@
     CHECK(unframed.finish());
 }
 
-TEST_CASE("limits of heads and bodies hold")
+TEST_CASE("size limits of heads and bodies are enforced")
 {
     const std::string start = "POST / HTTP/1.1\r\nHost: h\r\n";
     RequestReader longHead({200, 10});
@@ -78,7 +78,7 @@
           == MessageError::BodyTooLarge);
 }
 
-TEST_CASE("headers that concern one connection are removed by name")
+TEST_CASE("hop-by-hop headers are removed")
 {
     HeaderList headers;
     headers.add("Connection", "close, X-Mine");
@@ -93,7 +93,7 @@
     CHECK_FALSE(listsToken("xchunked", "chunked"));
 }
 
-TEST_CASE("messages are written with the framing of their body")
+TEST_CASE("messages are serialized with the framing of their body")
 {
     RequestHead request;
     request.method = "GET";
