--- a/packages/eventloop/apricothook/eventloop/apricothook_datagram_socket.cpp
+++ b/packages/eventloop/apricothook/eventloop/apricothook_datagram_socket.cpp
@@ -12,7 +12,7 @@
 namespace Apricothook {
 
 Result<std::unique_ptr<DatagramSocket>, ListenError>
-DatagramSocket::open(EventLoop &loop, const Endpoint &address, Received received)
+DatagramSocket::open(EventLoop &loop, const Endpoint &address, ReceiveHandler received)
 {
     const std::optional<sockaddr_storage> bound = socketAddressOf(address);
     if (!bound)
@@ -29,8 +29,8 @@
         new DatagramSocket(loop, descriptor, std::move(received)));
 }
 
-DatagramSocket::DatagramSocket(EventLoop &loop, int descriptor, Received received)
-    : m_loop(loop), m_descriptor(descriptor), m_received(std::move(received))
+DatagramSocket::DatagramSocket(EventLoop &loop, int descriptor, ReceiveHandler received)
+    : m_loop(loop), m_descriptor(descriptor), m_receiveHandler(std::move(received))
 {
     m_loop.watch(m_descriptor, *this);
 }
@@ -51,12 +51,12 @@
 
 void DatagramSocket::onReadable()
 {
-    std::array<char, LargestBytes> buffer;
+    std::array<char, MaxDatagramBytes> buffer;
     while (true) {
         const ssize_t got = recv(m_descriptor, buffer.data(), buffer.size(), 0);
         if (got <= 0)
             return;
-        m_received({buffer.data(), static_cast<std::size_t>(got)});
+        m_receiveHandler({buffer.data(), static_cast<std::size_t>(got)});
     }
 }
 
--- a/packages/eventloop/apricothook/eventloop/apricothook_datagram_socket.hpp
+++ b/packages/eventloop/apricothook/eventloop/apricothook_datagram_socket.hpp
@@ -11,11 +11,11 @@
 {
 public:
     /** Receive buffer size; a longer datagram is truncated and fails to parse. */
-    static constexpr std::size_t LargestBytes = 8192;
-    using Received = std::function<void(std::string_view bytes)>;
+    static constexpr std::size_t MaxDatagramBytes = 8192;
+    using ReceiveHandler = std::function<void(std::string_view bytes)>;
 
     static Result<std::unique_ptr<DatagramSocket>, ListenError>
-    open(EventLoop &loop, const Endpoint &address, Received received);
+    open(EventLoop &loop, const Endpoint &address, ReceiveHandler received);
     ~DatagramSocket() override;
     DatagramSocket(const DatagramSocket &) = delete;
     DatagramSocket &operator=(const DatagramSocket &) = delete;
@@ -24,13 +24,13 @@
     void send(const Endpoint &to, std::string_view bytes);
 
 private:
-    DatagramSocket(EventLoop &loop, int descriptor, Received received);
+    DatagramSocket(EventLoop &loop, int descriptor, ReceiveHandler received);
     void onReadable() override;
     void onWritable() override { }
 
     EventLoop &m_loop;
     const int m_descriptor;
-    Received m_received;
+    ReceiveHandler m_receiveHandler;
 };
 
 } // namespace Apricothook
--- a/packages/eventloop/apricothook/eventloop/apricothook_event_loop.cpp
+++ b/packages/eventloop/apricothook/eventloop/apricothook_event_loop.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-int orThrow(int result, const char *call)
+int throwOnError(int result, const char *call)
 {
     if (result < 0)
         throw std::system_error(errno, std::generic_category(), call);
@@ -26,28 +26,28 @@
 
 EventLoop::EventLoop(const Clock &clock)
     : m_clock(clock)
-    , m_poll(orThrow(epoll_create1(EPOLL_CLOEXEC), "epoll_create1"))
-    , m_waker(orThrow(eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC), "eventfd"))
+    , m_epoll(throwOnError(epoll_create1(EPOLL_CLOEXEC), "epoll_create1"))
+    , m_wakeupEvent(throwOnError(eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC), "eventfd"))
 {
     epoll_event event {};
     event.events = EPOLLIN;
-    event.data.fd = m_waker;
-    orThrow(epoll_ctl(m_poll, EPOLL_CTL_ADD, m_waker, &event), "epoll_ctl");
+    event.data.fd = m_wakeupEvent;
+    throwOnError(epoll_ctl(m_epoll, EPOLL_CTL_ADD, m_wakeupEvent, &event), "epoll_ctl");
 }
 
 EventLoop::~EventLoop()
 {
-    close(m_waker);
-    close(m_poll);
+    close(m_wakeupEvent);
+    close(m_epoll);
 }
 
 void EventLoop::watch(int descriptor, DescriptorEvents &events)
 {
-    m_watched[descriptor] = &events;
+    m_handlers[descriptor] = &events;
     epoll_event event {};
     event.events = EPOLLIN;
     event.data.fd = descriptor;
-    orThrow(epoll_ctl(m_poll, EPOLL_CTL_ADD, descriptor, &event), "epoll_ctl");
+    throwOnError(epoll_ctl(m_epoll, EPOLL_CTL_ADD, descriptor, &event), "epoll_ctl");
 }
 
 void EventLoop::setInterest(int descriptor, bool readable, bool writable)
@@ -55,13 +55,13 @@
     epoll_event event {};
     event.events = (readable ? EPOLLIN : 0U) | (writable ? EPOLLOUT : 0U);
     event.data.fd = descriptor;
-    orThrow(epoll_ctl(m_poll, EPOLL_CTL_MOD, descriptor, &event), "epoll_ctl");
+    throwOnError(epoll_ctl(m_epoll, EPOLL_CTL_MOD, descriptor, &event), "epoll_ctl");
 }
 
 void EventLoop::unwatch(int descriptor)
 {
-    m_watched.erase(descriptor);
-    epoll_ctl(m_poll, EPOLL_CTL_DEL, descriptor, nullptr);
+    m_handlers.erase(descriptor);
+    epoll_ctl(m_epoll, EPOLL_CTL_DEL, descriptor, nullptr);
 }
 
 TimerId EventLoop::after(Duration delay, std::function<void()> action)
@@ -69,17 +69,17 @@
     const TimerId timer = ++m_lastTimer;
     const Instant due = now() + std::max(delay, Duration::zero());
     m_timers.emplace(std::pair(due, timer), std::move(action));
-    m_timerTimes.emplace(timer, due);
+    m_dueTimes.emplace(timer, due);
     return timer;
 }
 
 void EventLoop::cancel(TimerId &timer)
 {
-    const auto found = m_timerTimes.find(std::exchange(timer, 0));
-    if (found == m_timerTimes.end())
+    const auto found = m_dueTimes.find(std::exchange(timer, 0));
+    if (found == m_dueTimes.end())
         return;
     m_timers.erase({found->second, found->first});
-    m_timerTimes.erase(found);
+    m_dueTimes.erase(found);
 }
 
 void EventLoop::defer(std::function<void()> action)
@@ -120,7 +120,7 @@
 {
     const std::uint64_t one = 1;
     // The write fails only when the eventfd counter is full, that is, with a wake-up pending.
-    [[maybe_unused]] const ssize_t written = write(m_waker, &one, sizeof one);
+    [[maybe_unused]] const ssize_t written = write(m_wakeupEvent, &one, sizeof one);
 }
 
 void EventLoop::runDueTimers()
@@ -128,7 +128,7 @@
     const Instant present = now();
     while (!m_timers.empty() && m_timers.begin()->first.first <= present) {
         auto node = m_timers.extract(m_timers.begin());
-        m_timerTimes.erase(node.key().second);
+        m_dueTimes.erase(node.key().second);
         node.mapped()();
     }
 }
@@ -163,26 +163,26 @@
         std::clamp<std::int64_t>(left.count(), 0, std::numeric_limits<int>::max()));
 }
 
-void EventLoop::wait(int longestMilliseconds)
+void EventLoop::wait(int maxMilliseconds)
 {
     int wait = millisecondsToNextTimer();
-    if (longestMilliseconds >= 0)
-        wait = wait < 0 ? longestMilliseconds : std::min(wait, longestMilliseconds);
-    std::array<epoll_event, EventsPerWait> events;
-    const int count = epoll_wait(m_poll, events.data(), EventsPerWait, wait);
+    if (maxMilliseconds >= 0)
+        wait = wait < 0 ? maxMilliseconds : std::min(wait, maxMilliseconds);
+    std::array<epoll_event, MaxEventsPerWait> events;
+    const int count = epoll_wait(m_epoll, events.data(), MaxEventsPerWait, wait);
     for (int i = 0; i < count; ++i) {
         const epoll_event &event = events[static_cast<std::size_t>(i)];
-        if (event.data.fd == m_waker) {
+        if (event.data.fd == m_wakeupEvent) {
             std::uint64_t ignored = 0;
-            [[maybe_unused]] const ssize_t got = read(m_waker, &ignored, sizeof ignored);
+            [[maybe_unused]] const ssize_t got = read(m_wakeupEvent, &ignored, sizeof ignored);
             runPosted();
             if (m_wakeAction)
                 m_wakeAction();
             continue;
         }
         const auto report = [&](std::uint32_t bits, void (DescriptorEvents::*call)()) {
-            const auto found = m_watched.find(event.data.fd);
-            if ((event.events & bits) != 0 && found != m_watched.end())
+            const auto found = m_handlers.find(event.data.fd);
+            if ((event.events & bits) != 0 && found != m_handlers.end())
                 (found->second->*call)();
         };
         report(EPOLLOUT, &DescriptorEvents::onWritable);
--- a/packages/eventloop/apricothook/eventloop/apricothook_event_loop.hpp
+++ b/packages/eventloop/apricothook/eventloop/apricothook_event_loop.hpp
@@ -66,29 +66,29 @@
 
 private:
     /** Capacity of the post() queue; two threads post a few functions a second each. */
-    static constexpr std::size_t PostedCapacity = 256;
+    static constexpr std::size_t PostQueueCapacity = 256;
     /** Most events taken from one epoll_wait(). */
-    static constexpr int EventsPerWait = 64;
+    static constexpr int MaxEventsPerWait = 64;
 
     void runDueTimers();
     void runDeferred();
     void runPosted();
-    void wait(int longestMilliseconds);
+    void wait(int maxMilliseconds);
     int millisecondsToNextTimer() const;
 
     const Clock &m_clock;
-    const int m_poll;
-    const int m_waker;
+    const int m_epoll;
+    const int m_wakeupEvent;
     std::atomic<bool> m_stopping = false;
     std::atomic<bool> m_hasPosted = false;
     TimerId m_lastTimer = 0;
     std::map<std::pair<Instant, TimerId>, std::function<void()>> m_timers;
-    std::unordered_map<TimerId, Instant> m_timerTimes;
+    std::unordered_map<TimerId, Instant> m_dueTimes;
     /** By descriptor; events of a descriptor removed earlier in the iteration are ignored. */
-    std::unordered_map<int, DescriptorEvents *> m_watched;
+    std::unordered_map<int, DescriptorEvents *> m_handlers;
     std::vector<std::function<void()>> m_deferred;
     std::function<void()> m_wakeAction;
-    BoundedQueue<std::function<void()>> m_posted {PostedCapacity};
+    BoundedQueue<std::function<void()>> m_posted {PostQueueCapacity};
 };
 
 } // namespace Apricothook
--- a/packages/eventloop/apricothook/eventloop/apricothook_listener.cpp
+++ b/packages/eventloop/apricothook/eventloop/apricothook_listener.cpp
@@ -16,12 +16,12 @@
  * After a restart all callers of a site may connect at once; with a full backlog they would lose
  * seconds to SYN retransmission.
  */
-constexpr int WaitingConnections = 1024;
+constexpr int ListenBacklog = 1024;
 
 } // namespace
 
 Result<std::unique_ptr<Listener>, ListenError>
-Listener::open(EventLoop &loop, const Endpoint &address, Accepted accepted)
+Listener::open(EventLoop &loop, const Endpoint &address, AcceptHandler accepted)
 {
     const std::optional<sockaddr_storage> bound = socketAddressOf(address);
     if (!bound)
@@ -32,7 +32,7 @@
     const int reuse = 1;
     static_cast<void>(setsockopt(descriptor, SOL_SOCKET, SO_REUSEADDR, &reuse, sizeof reuse));
     if (bind(descriptor, reinterpret_cast<const sockaddr *>(&*bound), sizeof(sockaddr_in)) < 0
-        || listen(descriptor, WaitingConnections) < 0) {
+        || listen(descriptor, ListenBacklog) < 0) {
         const ListenError error {address, errno};
         ::close(descriptor);
         return error;
@@ -40,8 +40,8 @@
     return std::unique_ptr<Listener>(new Listener(loop, descriptor, std::move(accepted)));
 }
 
-Listener::Listener(EventLoop &loop, int descriptor, Accepted accepted)
-    : m_loop(loop), m_descriptor(descriptor), m_accepted(std::move(accepted))
+Listener::Listener(EventLoop &loop, int descriptor, AcceptHandler accepted)
+    : m_loop(loop), m_descriptor(descriptor), m_acceptHandler(std::move(accepted))
 {
     m_loop.watch(m_descriptor, *this);
 }
@@ -65,7 +65,7 @@
     // One connection per loop iteration, so that a burst doesn't delay requests in progress.
     const int descriptor = accept4(m_descriptor, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (descriptor >= 0)
-        m_accepted(descriptor);
+        m_acceptHandler(descriptor);
 }
 
 } // namespace Apricothook
--- a/packages/eventloop/apricothook/eventloop/apricothook_listener.hpp
+++ b/packages/eventloop/apricothook/eventloop/apricothook_listener.hpp
@@ -20,10 +20,10 @@
 class Listener : private DescriptorEvents
 {
 public:
-    using Accepted = std::function<void(int descriptor)>;
+    using AcceptHandler = std::function<void(int descriptor)>;
 
     static Result<std::unique_ptr<Listener>, ListenError>
-    open(EventLoop &loop, const Endpoint &address, Accepted accepted);
+    open(EventLoop &loop, const Endpoint &address, AcceptHandler accepted);
     ~Listener() override;
     /** The bound port; chosen by the system if the address has port zero. */
     std::uint16_t port() const;
@@ -31,13 +31,13 @@
     Listener &operator=(const Listener &) = delete;
 
 private:
-    Listener(EventLoop &loop, int descriptor, Accepted accepted);
+    Listener(EventLoop &loop, int descriptor, AcceptHandler accepted);
     void onReadable() override;
     void onWritable() override { }
 
     EventLoop &m_loop;
     const int m_descriptor;
-    Accepted m_accepted;
+    AcceptHandler m_acceptHandler;
 };
 
 } // namespace Apricothook
--- a/packages/eventloop/apricothook/eventloop/apricothook_stream_socket.cpp
+++ b/packages/eventloop/apricothook/eventloop/apricothook_stream_socket.cpp
@@ -15,9 +15,9 @@
 namespace {
 
 /** Idle time before the first keep-alive probe, and the interval between probes. */
-constexpr int ProbeSeconds = 1;
+constexpr int KeepAliveSeconds = 1;
 /** The connection ends after two unanswered probes. */
-constexpr int UnansweredProbes = 2;
+constexpr int MaxUnansweredProbes = 2;
 
 void setOption(int descriptor, int level, int option, int value)
 {
@@ -29,14 +29,14 @@
 {
     setOption(descriptor, IPPROTO_TCP, TCP_NODELAY, 1);
     setOption(descriptor, IPPROTO_TCP, TCP_USER_TIMEOUT,
-              static_cast<int>(StreamSocket::SilenceLimit.count()));
+              static_cast<int>(StreamSocket::DeadPeerTimeout.count()));
     setOption(descriptor, SOL_SOCKET, SO_KEEPALIVE, 1);
-    setOption(descriptor, IPPROTO_TCP, TCP_KEEPIDLE, ProbeSeconds);
-    setOption(descriptor, IPPROTO_TCP, TCP_KEEPINTVL, ProbeSeconds);
-    setOption(descriptor, IPPROTO_TCP, TCP_KEEPCNT, UnansweredProbes);
+    setOption(descriptor, IPPROTO_TCP, TCP_KEEPIDLE, KeepAliveSeconds);
+    setOption(descriptor, IPPROTO_TCP, TCP_KEEPINTVL, KeepAliveSeconds);
+    setOption(descriptor, IPPROTO_TCP, TCP_KEEPCNT, MaxUnansweredProbes);
 }
 
-bool isTemporary(int error)
+bool isTransient(int error)
 {
     return error == EAGAIN || error == EWOULDBLOCK || error == EINTR;
 }
@@ -101,7 +101,7 @@
     }
     if (bytes.empty())
         return;
-    m_unsent.append(bytes);
+    m_sendBuffer.append(bytes);
     updateInterest();
 }
 
@@ -122,13 +122,13 @@
 
 void StreamSocket::shutdownSend()
 {
-    m_finishing = true;
+    m_shutdownRequested = true;
     shutDownIfSent();
 }
 
 void StreamSocket::shutDownIfSent()
 {
-    if (m_finishing && m_descriptor >= 0 && unsentBytes() == 0)
+    if (m_shutdownRequested && m_descriptor >= 0 && unsentBytes() == 0)
         shutdown(m_descriptor, SHUT_WR);
 }
 
@@ -161,11 +161,11 @@
         return;
     }
     const std::weak_ptr alive(m_alive);
-    std::array<char, ReadBytes> buffer;
+    std::array<char, ReadBufferBytes> buffer;
     // A full buffer means that more data may be queued; reading on saves an epoll_wait().
     for (bool more = true; more;) {
         const ssize_t got = recv(m_descriptor, buffer.data(), buffer.size(), 0);
-        if (got < 0 && isTemporary(errno))
+        if (got < 0 && isTransient(errno))
             return;
         if (got <= 0) {
             end(got == 0 ? CloseReason::PeerClosed : CloseReason::Failed);
@@ -211,19 +211,19 @@
 {
     if (unsentBytes() == 0)
         return;
-    const std::string_view rest = std::string_view(m_unsent).substr(m_sentOfUnsent);
+    const std::string_view rest = std::string_view(m_sendBuffer).substr(m_sendOffset);
     const ssize_t sent = ::send(m_descriptor, rest.data(), rest.size(), MSG_NOSIGNAL);
-    if (sent < 0 && !isTemporary(errno)) {
+    if (sent < 0 && !isTransient(errno)) {
         // Nothing more can be sent; the next read reports the end of the connection.
-        m_unsent.clear();
-        m_sentOfUnsent = 0;
+        m_sendBuffer.clear();
+        m_sendOffset = 0;
         return;
     }
-    m_sentOfUnsent += sent > 0 ? static_cast<std::size_t>(sent) : 0;
+    m_sendOffset += sent > 0 ? static_cast<std::size_t>(sent) : 0;
     if (unsentBytes() > 0)
         return;
-    m_unsent.clear();
-    m_sentOfUnsent = 0;
+    m_sendBuffer.clear();
+    m_sendOffset = 0;
 }
 
 } // namespace Apricothook
--- a/packages/eventloop/apricothook/eventloop/apricothook_stream_socket.hpp
+++ b/packages/eventloop/apricothook/eventloop/apricothook_stream_socket.hpp
@@ -40,7 +40,7 @@
 {
 public:
     /** Allows for a few retransmissions, but is shorter than the pause that callers tolerate. */
-    static constexpr std::chrono::milliseconds SilenceLimit {1500};
+    static constexpr std::chrono::milliseconds DeadPeerTimeout {1500};
 
     /** Takes ownership of an accepted descriptor. */
     StreamSocket(EventLoop &loop, StreamSocketEvents &events, int descriptor);
@@ -54,7 +54,7 @@
     /** While reading is off, flow control stops the peer once the receive window is full. */
     void setReading(bool reading);
     /** Buffered bytes that the kernel hasn't accepted yet. */
-    std::size_t unsentBytes() const { return m_unsent.size() - m_sentOfUnsent; }
+    std::size_t unsentBytes() const { return m_sendBuffer.size() - m_sendOffset; }
     bool isOpen() const { return m_descriptor >= 0; }
     /** Half-closes the connection after all buffered bytes are sent; reading continues. */
     void shutdownSend();
@@ -64,7 +64,7 @@
     void abort();
 
 private:
-    static constexpr std::size_t ReadBytes = 16384;
+    static constexpr std::size_t ReadBufferBytes = 16384;
 
     void onReadable() override;
     void onWritable() override;
@@ -80,9 +80,9 @@
     int m_descriptor = -1;
     bool m_connecting = false;
     bool m_reading = true;
-    bool m_finishing = false;
-    std::string m_unsent;
-    std::size_t m_sentOfUnsent = 0;
+    bool m_shutdownRequested = false;
+    std::string m_sendBuffer;
+    std::size_t m_sendOffset = 0;
     /** Running callbacks hold a weak pointer to it to detect that the socket was destroyed. */
     std::shared_ptr<bool> m_alive = std::make_shared<bool>(true);
 };
--- a/packages/gateway/apricothook/gateway/apricothook_caller_connection.cpp
+++ b/packages/gateway/apricothook/gateway/apricothook_caller_connection.cpp
@@ -27,14 +27,14 @@
 } // namespace
 
 CallerConnection::CallerConnection(EventLoop &loop, CallerRequestHandler &handler, int descriptor,
-                                   Closed closed)
+                                   CloseHandler closed)
     : m_loop(loop)
     , m_handler(handler)
-    , m_closed(std::move(closed))
+    , m_closeHandler(std::move(closed))
     , m_reader(handler.messageLimits())
     , m_socket(loop, *this, descriptor)
 {
-    setTimer(m_handler.idleTimeout(), &CallerConnection::onIdle);
+    setTimer(m_handler.idleTimeout(), &CallerConnection::onIdleTimeout);
 }
 
 CallerConnection::~CallerConnection()
@@ -53,7 +53,7 @@
 
 bool CallerConnection::isIdle() const
 {
-    return !m_answering && !m_lingering && m_early.empty() && !m_reader.hasStarted();
+    return !m_answering && !m_lingering && m_input.empty() && !m_reader.hasStarted();
 }
 
 void CallerConnection::closeIfIdle()
@@ -66,7 +66,7 @@
 {
     m_loop.cancel(m_timer);
     m_socket.close();
-    if (const Closed closed = std::exchange(m_closed, nullptr))
+    if (const CloseHandler closed = std::exchange(m_closeHandler, nullptr))
         closed(*this);
 }
 
@@ -74,44 +74,44 @@
 {
     if (m_lingering)
         return;
-    m_early.append(bytes);
+    m_input.append(bytes);
     if (!m_answering)
         readRequests();
-    else if (m_early.size() > MostEarlyBytes)
+    else if (m_input.size() > MaxPipelinedBytes)
         m_socket.setReading(false);
 }
 
 void CallerConnection::readRequests()
 {
-    // finishAnswer() calls this again if begin() answers the request synchronously.
-    if (std::exchange(m_inRead, true))
+    // finishResponse() calls this again if begin() answers the request synchronously.
+    if (std::exchange(m_inReadRequests, true))
         return;
-    while (!m_answering && !m_lingering && m_socket.isOpen() && !m_early.empty()) {
+    while (!m_answering && !m_lingering && m_socket.isOpen() && !m_input.empty()) {
         if (!readRequest())
             break;
     }
-    m_inRead = false;
+    m_inReadRequests = false;
 }
 
 bool CallerConnection::readRequest()
 {
     if (!m_reader.hasStarted()) {
-        m_begun = m_loop.now();
-        setTimer(m_handler.headTimeout(), &CallerConnection::onHeadLate);
+        m_receiveStarted = m_loop.now();
+        setTimer(m_handler.headTimeout(), &CallerConnection::onHeadTimeout);
     }
-    const Result<std::size_t, MessageError> taken = m_reader.feed(m_early);
+    const Result<std::size_t, MessageError> taken = m_reader.feed(m_input);
     if (!taken) {
         refuse(taken.error());
         return false;
     }
-    m_early.erase(0, taken.value());
-    if (m_reader.hasHead() && !std::exchange(m_headDone, true)) {
+    m_input.erase(0, taken.value());
+    if (m_reader.hasHead() && !std::exchange(m_headComplete, true)) {
         const std::optional<std::string_view> expect = m_reader.head().headers.find("Expect");
         if (expect && equalsIgnoringCase(*expect, "100-continue") && !m_reader.isComplete())
             m_socket.send(Continue);
     }
-    if (m_headDone)
-        setTimer(m_handler.idleTimeout(), &CallerConnection::onBodyLate);
+    if (m_headComplete)
+        setTimer(m_handler.idleTimeout(), &CallerConnection::onBodyTimeout);
     if (!m_reader.isComplete())
         return false;
     beginRequest();
@@ -121,10 +121,10 @@
 void CallerConnection::beginRequest()
 {
     m_loop.cancel(m_timer);
-    ReceivedRequest request {m_reader.head(), m_reader.takeBody(), m_begun};
+    ReceivedRequest request {m_reader.head(), m_reader.takeBody(), m_receiveStarted};
     m_reader = RequestReader(m_handler.messageLimits());
-    m_headDone = false;
-    m_keeps = request.head.isKeepAlive;
+    m_headComplete = false;
+    m_keepAlive = request.head.isKeepAlive;
     m_isHeadRequest = request.head.method == "HEAD";
     m_answering = true;
     m_request = &m_handler.begin(std::move(request), *this);
@@ -141,8 +141,8 @@
 void CallerConnection::sendHead(const ResponseHead &head, BodyFraming body)
 {
     m_chunked = body.kind == BodyFraming::Kind::Chunked;
-    m_keeps = m_keeps && !m_handler.isLeaving();
-    if (m_keeps) {
+    m_keepAlive = m_keepAlive && !m_handler.isDraining();
+    if (m_keepAlive) {
         m_socket.send(writeResponseHead(head, body));
         return;
     }
@@ -161,28 +161,28 @@
         m_socket.send(bytes);
 }
 
-void CallerConnection::finishAnswer()
+void CallerConnection::finishResponse()
 {
     if (m_chunked && !m_isHeadRequest)
         m_socket.send(LastChunk);
     m_chunked = false;
     m_answering = false;
     endRequest();
-    if (!m_keeps) {
-        refuseAndLinger(0);
+    if (!m_keepAlive) {
+        respondAndLinger(0);
         return;
     }
-    awaitRequest();
+    awaitNextRequest();
 }
 
-void CallerConnection::awaitRequest()
+void CallerConnection::awaitNextRequest()
 {
     m_socket.setReading(true);
-    setTimer(m_handler.idleTimeout(), &CallerConnection::onIdle);
+    setTimer(m_handler.idleTimeout(), &CallerConnection::onIdleTimeout);
     readRequests();
 }
 
-void CallerConnection::abortAnswer()
+void CallerConnection::abortResponse()
 {
     m_answering = false;
     endRequest();
@@ -193,10 +193,10 @@
 
 void CallerConnection::refuse(MessageError error)
 {
-    refuseAndLinger(statusOf(error));
+    respondAndLinger(statusOf(error));
 }
 
-void CallerConnection::refuseAndLinger(unsigned status)
+void CallerConnection::respondAndLinger(unsigned status)
 {
     if (status != 0) {
         ResponseHead head = m_handler.dialect().localResponse(status, RequestKey(), std::nullopt);
@@ -205,23 +205,23 @@
     }
     // Closing with unread bytes resets the connection, and the caller could lose the response.
     m_lingering = true;
-    m_early.clear();
+    m_input.clear();
     m_socket.shutdownSend();
     m_socket.setReading(true);
     setTimer(LingerTime, &CallerConnection::close);
 }
 
-void CallerConnection::onHeadLate()
+void CallerConnection::onHeadTimeout()
 {
-    refuseAndLinger(HttpStatus::RequestTimeout);
+    respondAndLinger(HttpStatus::RequestTimeout);
 }
 
-void CallerConnection::onBodyLate()
+void CallerConnection::onBodyTimeout()
 {
-    refuseAndLinger(HttpStatus::RequestTimeout);
+    respondAndLinger(HttpStatus::RequestTimeout);
 }
 
-void CallerConnection::onIdle()
+void CallerConnection::onIdleTimeout()
 {
     close();
 }
--- a/packages/gateway/apricothook/gateway/apricothook_caller_connection.hpp
+++ b/packages/gateway/apricothook/gateway/apricothook_caller_connection.hpp
@@ -18,10 +18,11 @@
 class CallerConnection : private StreamSocketEvents, private CallerResponder
 {
 public:
-    using Closed = std::function<void(CallerConnection &)>;
+    using CloseHandler = std::function<void(CallerConnection &)>;
 
     /** `closed` is called once; it must not destroy the connection during the current event. */
-    CallerConnection(EventLoop &loop, CallerRequestHandler &handler, int descriptor, Closed closed);
+    CallerConnection(EventLoop &loop, CallerRequestHandler &handler, int descriptor,
+                     CloseHandler closed);
     ~CallerConnection() override;
     CallerConnection(const CallerConnection &) = delete;
     CallerConnection &operator=(const CallerConnection &) = delete;
@@ -32,7 +33,7 @@
 
 private:
     /** Buffer limit for pipelined requests while one is being answered. */
-    static constexpr std::size_t MostEarlyBytes = 65536;
+    static constexpr std::size_t MaxPipelinedBytes = 65536;
     /** How long input is still drained after the last response before the connection is closed. */
     static constexpr std::chrono::milliseconds LingerTime {1000};
 
@@ -42,8 +43,8 @@
 
     void sendHead(const ResponseHead &head, BodyFraming body) override;
     void sendBody(std::string_view bytes) override;
-    void finishAnswer() override;
-    void abortAnswer() override;
+    void finishResponse() override;
+    void abortResponse() override;
     std::size_t unsentBytes() const override { return m_socket.unsentBytes(); }
 
     void readRequests();
@@ -51,29 +52,29 @@
     void beginRequest();
     void endRequest();
     void refuse(MessageError error);
-    void refuseAndLinger(unsigned status);
-    void awaitRequest();
+    void respondAndLinger(unsigned status);
+    void awaitNextRequest();
     void setTimer(Duration delay, void (CallerConnection::*onTime)());
-    void onHeadLate();
-    void onBodyLate();
-    void onIdle();
+    void onHeadTimeout();
+    void onBodyTimeout();
+    void onIdleTimeout();
     void close();
 
     EventLoop &m_loop;
     CallerRequestHandler &m_handler;
-    Closed m_closed;
+    CloseHandler m_closeHandler;
     RequestReader m_reader;
     CallerRequestEvents *m_request = nullptr;
-    std::string m_early;
+    std::string m_input;
     /** When the first byte of the current request was read. */
-    Instant m_begun {};
-    bool m_headDone = false;
+    Instant m_receiveStarted {};
+    bool m_headComplete = false;
     bool m_isHeadRequest = false;
     bool m_chunked = false;
-    bool m_keeps = true;
+    bool m_keepAlive = true;
     bool m_answering = false;
     bool m_lingering = false;
-    bool m_inRead = false;
+    bool m_inReadRequests = false;
     TimerId m_timer = 0;
     StreamSocket m_socket;
 };
--- a/packages/gateway/apricothook/gateway/apricothook_caller_responder.hpp
+++ b/packages/gateway/apricothook/gateway/apricothook_caller_responder.hpp
@@ -15,9 +15,9 @@
     virtual ~CallerResponder() = default;
     virtual void sendHead(const ResponseHead &head, BodyFraming body) = 0;
     virtual void sendBody(std::string_view bytes) = 0;
-    virtual void finishAnswer() = 0;
+    virtual void finishResponse() = 0;
     /** Resets the connection, so that the caller detects the incomplete response. */
-    virtual void abortAnswer() = 0;
+    virtual void abortResponse() = 0;
     /** Buffered response bytes that the kernel hasn't accepted yet. */
     virtual std::size_t unsentBytes() const = 0;
 };
@@ -55,7 +55,7 @@
     virtual Duration idleTimeout() const = 0;
     virtual const WireProtocol &dialect() const = 0;
     /** The process is shutting down: connections are closed after the current response. */
-    virtual bool isLeaving() const = 0;
+    virtual bool isDraining() const = 0;
 };
 
 } // namespace Apricothook
--- a/packages/gateway/apricothook/gateway/apricothook_channel_pool.cpp
+++ b/packages/gateway/apricothook/gateway/apricothook_channel_pool.cpp
@@ -8,50 +8,50 @@
 
 namespace {
 
-constexpr std::chrono::seconds SweepPause {1};
+constexpr std::chrono::seconds SweepInterval {1};
 
 } // namespace
 
 ChannelPool::ChannelPool(EventLoop &loop, const WireProtocol &dialect, LogWriter &log)
-    : m_loop(loop), m_dialect(dialect), m_log(log)
+    : m_loop(loop), m_protocol(dialect), m_log(log)
 {
     scheduleSweep();
 }
 
 ChannelPool::~ChannelPool()
 {
-    m_loop.cancel(m_sweep);
+    m_loop.cancel(m_sweepTimer);
 }
 
 void ChannelPool::scheduleSweep()
 {
-    m_sweep = m_loop.after(SweepPause, [this] {
-        closeOld();
+    m_sweepTimer = m_loop.after(SweepInterval, [this] {
+        closeExpired();
         scheduleSweep();
     });
 }
 
-bool ChannelPool::isUsable(const TargetChannel &channel, bool mayRunAgain) const
+bool ChannelPool::isUsable(const TargetChannel &channel, bool isRetryable) const
 {
     const Duration idle = m_loop.now() - channel.idleSince();
-    Duration limit = mayRunAgain ? Duration(IdleLimit) : Duration(FreshLimit);
+    Duration limit = isRetryable ? Duration(IdleLimit) : Duration(NonRetryableIdleLimit);
     if (channel.kept())
-        limit
-            = std::min(limit, std::chrono::duration_cast<Duration>(*channel.kept() * TrustedPart));
+        limit = std::min(limit,
+                         std::chrono::duration_cast<Duration>(*channel.kept() * KeepAliveFraction));
     return idle < limit;
 }
 
-TargetChannel &ChannelPool::acquire(const TargetEntry &target, bool mayRunAgain)
+TargetChannel &ChannelPool::acquire(const TargetEntry &target, bool isRetryable)
 {
     std::vector<TargetChannel *> &idle = m_idle[target.id];
     if (!idle.empty() && idle.back()->target().instance() == target.instance()
-        && idle.back()->target().address == target.address && isUsable(*idle.back(), mayRunAgain)) {
+        && idle.back()->target().address == target.address && isUsable(*idle.back(), isRetryable)) {
         TargetChannel &channel = *idle.back();
         idle.pop_back();
         return channel;
     }
     TargetChannelOwner &owner = *this;
-    m_channels.push_back(std::make_unique<TargetChannel>(m_loop, m_dialect, owner, target));
+    m_channels.push_back(std::make_unique<TargetChannel>(m_loop, m_protocol, owner, target));
     return *m_channels.back();
 }
 
@@ -66,7 +66,7 @@
         channel->close();
 }
 
-void ChannelPool::closeOld()
+void ChannelPool::closeExpired()
 {
     std::vector<TargetChannel *> old;
     for (const auto &[target, idle] : m_idle) {
@@ -99,7 +99,7 @@
     m_channels.erase(found);
 }
 
-void ChannelPool::onStrayAnswer(const TargetChannel &channel)
+void ChannelPool::onUnexpectedResponse(const TargetChannel &channel)
 {
     m_log.write(LogEvent(GatewayEvent::AnswerDiscarded).with("target", channel.target().id.text()));
 }
--- a/packages/gateway/apricothook/gateway/apricothook_channel_pool.hpp
+++ b/packages/gateway/apricothook/gateway/apricothook_channel_pool.hpp
@@ -17,12 +17,12 @@
      */
     static constexpr std::chrono::milliseconds IdleLimit {4000};
     /** Fraction of the target's keep-alive time for which an idle channel is used. */
-    static constexpr double TrustedPart = 0.6;
+    static constexpr double KeepAliveFraction = 0.6;
     /**
      * Idle time up to which a channel is used for a request that must not run twice. If the target
      * closes the channel just as the request is sent, it is unknown whether the request ran.
      */
-    static constexpr std::chrono::milliseconds FreshLimit {1000};
+    static constexpr std::chrono::milliseconds NonRetryableIdleLimit {1000};
 
     ChannelPool(EventLoop &loop, const WireProtocol &dialect, LogWriter &log);
     ~ChannelPool() override;
@@ -30,7 +30,7 @@
     ChannelPool &operator=(const ChannelPool &) = delete;
 
     /** Returns an idle channel to the target, or a new one that is still connecting. */
-    TargetChannel &acquire(const TargetEntry &target, bool mayRunAgain);
+    TargetChannel &acquire(const TargetEntry &target, bool isRetryable);
     /** Closes the idle channels to the target. */
     void forget(const TargetId &target);
     std::size_t size() const { return m_channels.size(); }
@@ -40,18 +40,18 @@
 
     void onChannelIdle(TargetChannel &channel) override;
     void onChannelClosed(TargetChannel &channel) override;
-    void onStrayAnswer(const TargetChannel &channel) override;
-    void closeOld();
-    bool isUsable(const TargetChannel &channel, bool mayRunAgain) const;
+    void onUnexpectedResponse(const TargetChannel &channel) override;
+    void closeExpired();
+    bool isUsable(const TargetChannel &channel, bool isRetryable) const;
     void scheduleSweep();
 
     EventLoop &m_loop;
-    const WireProtocol &m_dialect;
+    const WireProtocol &m_protocol;
     LogWriter &m_log;
     Channels m_channels;
     /** Most recently used last; these are reused first, so that surplus channels expire. */
     std::map<TargetId, std::vector<TargetChannel *>> m_idle;
-    TimerId m_sweep = 0;
+    TimerId m_sweepTimer = 0;
 };
 
 } // namespace Apricothook
--- a/packages/gateway/apricothook/gateway/apricothook_crash_watch.cpp
+++ b/packages/gateway/apricothook/gateway/apricothook_crash_detector.cpp
@@ -1,4 +1,4 @@
-#include <apricothook/gateway/apricothook_crash_watch.hpp>
+#include <apricothook/gateway/apricothook_crash_detector.hpp>
 
 #include <apricothook/eventloop/apricothook_stream_socket.hpp>
 
@@ -7,13 +7,13 @@
 namespace Apricothook {
 
 /** A new connection to a target, and the requests that the target has dropped. */
-class CrashWatch::Probe : private StreamSocketEvents
+class CrashDetector::Probe : private StreamSocketEvents
 {
 public:
-    Probe(EventLoop &loop, const Endpoint &target, std::function<void()> judge)
+    Probe(EventLoop &loop, const Endpoint &target, std::function<void()> evaluate)
         : m_loop(loop), m_socket(loop, *this, target)
     {
-        m_timer = m_loop.after(ProbeTime, std::move(judge));
+        m_timer = m_loop.after(ProbeTime, std::move(evaluate));
     }
     ~Probe() override
     {
@@ -38,31 +38,31 @@
     StreamSocket m_socket;
 };
 
-CrashWatch::CrashWatch(EventLoop &loop, Crashed crashed)
-    : m_loop(loop), m_crashed(std::move(crashed))
+CrashDetector::CrashDetector(EventLoop &loop, CrashHandler crashed)
+    : m_loop(loop), m_crashHandler(std::move(crashed))
 {
 }
 
-CrashWatch::~CrashWatch() = default;
+CrashDetector::~CrashDetector() = default;
 
-void CrashWatch::noteDropped(const TargetEntry &target, Fingerprint request)
+void CrashDetector::recordDropped(const TargetEntry &target, Fingerprint request)
 {
     std::unique_ptr<Probe> &probe = m_probes[target.instance()];
     if (!probe) {
         probe = std::make_unique<Probe>(m_loop, target.address,
-                                        [this, start = target.instance()] { judge(start); });
+                                        [this, start = target.instance()] { evaluate(start); });
     }
     probe->dropped.push_back(request);
 }
 
-void CrashWatch::judge(const TargetInstance &target)
+void CrashDetector::evaluate(const TargetInstance &target)
 {
     const auto found = m_probes.find(target);
     const std::unique_ptr<Probe> probe = std::move(found->second);
     const TargetId id = target.id;
     m_probes.erase(found);
     if (!probe->isKept())
-        m_crashed(id, probe->dropped);
+        m_crashHandler(id, probe->dropped);
 }
 
 } // namespace Apricothook
--- a/packages/gateway/apricothook/gateway/apricothook_crash_watch.hpp
+++ b/packages/gateway/apricothook/gateway/apricothook_crash_detector.hpp
@@ -17,29 +17,30 @@
  * After a target drops a connection, a probe connects to it again. If the probe doesn't stay
  * connected either, the target has crashed, and the requests dropped until then were lost with it.
  */
-class CrashWatch
+class CrashDetector
 {
 public:
-    using Crashed = std::function<void(const TargetId &target, const std::vector<Fingerprint> &)>;
+    using CrashHandler
+        = std::function<void(const TargetId &target, const std::vector<Fingerprint> &)>;
 
     /** From the first dropped connection to the decision; connecting takes one round trip. */
     static constexpr std::chrono::milliseconds ProbeTime {150};
 
-    CrashWatch(EventLoop &loop, Crashed crashed);
-    ~CrashWatch();
-    CrashWatch(const CrashWatch &) = delete;
-    CrashWatch &operator=(const CrashWatch &) = delete;
+    CrashDetector(EventLoop &loop, CrashHandler crashed);
+    ~CrashDetector();
+    CrashDetector(const CrashDetector &) = delete;
+    CrashDetector &operator=(const CrashDetector &) = delete;
 
     /** Records that the target dropped the connection before the response was complete. */
-    void noteDropped(const TargetEntry &target, Fingerprint request);
+    void recordDropped(const TargetEntry &target, Fingerprint request);
 
 private:
     class Probe;
 
-    void judge(const TargetInstance &target);
+    void evaluate(const TargetInstance &target);
 
     EventLoop &m_loop;
-    const Crashed m_crashed;
+    const CrashHandler m_crashHandler;
     std::map<TargetInstance, std::unique_ptr<Probe>> m_probes;
 };
 
--- a/packages/gateway/apricothook/gateway/apricothook_event_stream_scanner.cpp
+++ b/packages/gateway/apricothook/gateway/apricothook_event_stream_scanner.cpp
@@ -32,11 +32,11 @@
 
 } // namespace
 
-WholeEvents EventStreamScanner::take(std::string_view bytes)
+CompleteEvents EventStreamScanner::take(std::string_view bytes)
 {
-    m_rest.append(bytes);
-    WholeEvents whole;
-    std::string_view left = m_rest;
+    m_buffer.append(bytes);
+    CompleteEvents whole;
+    std::string_view left = m_buffer;
     std::size_t end = 0;
     std::optional<std::uint64_t> id;
     while (left.find('\n') != std::string_view::npos) {
@@ -46,12 +46,12 @@
             id = read ? read : id;
             continue;
         }
-        end = m_rest.size() - left.size();
+        end = m_buffer.size() - left.size();
         ++whole.count;
         whole.lastId = id ? id : whole.lastId;
     }
-    whole.bytes = m_rest.substr(0, end);
-    m_rest.erase(0, end);
+    whole.bytes = m_buffer.substr(0, end);
+    m_buffer.erase(0, end);
     return whole;
 }
 
--- a/packages/gateway/apricothook/gateway/apricothook_event_stream_scanner.hpp
+++ b/packages/gateway/apricothook/gateway/apricothook_event_stream_scanner.hpp
@@ -8,7 +8,7 @@
 namespace Apricothook {
 
 /** Complete events taken from a stream. */
-struct WholeEvents
+struct CompleteEvents
 {
     /** The unchanged bytes of the events. */
     std::string bytes;
@@ -25,13 +25,13 @@
 {
 public:
     /** Appends bytes and returns the events that are now complete. */
-    WholeEvents take(std::string_view bytes);
+    CompleteEvents take(std::string_view bytes);
     /** The bytes of an incomplete event. */
-    const std::string &rest() const { return m_rest; }
-    void clear() { m_rest.clear(); }
+    const std::string &rest() const { return m_buffer; }
+    void clear() { m_buffer.clear(); }
 
 private:
-    std::string m_rest;
+    std::string m_buffer;
 };
 
 } // namespace Apricothook
--- a/packages/gateway/apricothook/gateway/apricothook_forwarded_answer.cpp
+++ b/packages/gateway/apricothook/gateway/apricothook_forwarded_answer.cpp
@@ -15,13 +15,13 @@
 namespace {
 
 /** Largest response body that is buffered completely, so that a failed attempt can be retried. */
-constexpr std::size_t MostKeptBody = 1 << 20;
+constexpr std::size_t MaxBufferedBody = 1 << 20;
 /** Unsent bytes to a slow caller above which its target's connection is no longer read. */
-constexpr std::size_t MostUnsentBytes = 1 << 18;
+constexpr std::size_t MaxUnsentBytes = 1 << 18;
 /** Shortest gap between stream events after which another target resumes the stream. */
-constexpr std::chrono::milliseconds ShortestStall {1000};
+constexpr std::chrono::milliseconds ShortestStallTimeout {1000};
 /** The same gap as a multiple of the route's objective for event gaps. */
-constexpr int StallFactor = 4;
+constexpr int StallTimeoutFactor = 4;
 
 TargetOutcome outcomeOf(ChannelFailure failure)
 {
@@ -36,7 +36,7 @@
     return m_admitted.route->isStream && m_attempt && m_attempt->head.status == HttpStatus::Ok;
 }
 
-void ForwardedRequest::onAnswerHead(const ResponseHead &head, const TargetResponseFields &verdict)
+void ForwardedRequest::onResponseHead(const ResponseHead &head, const TargetResponseFields &verdict)
 {
     m_attempt->hasHead = true;
     m_attempt->head = head;
@@ -59,39 +59,39 @@
     }
 }
 
-void ForwardedRequest::onAnswerBody(std::string_view bytes)
+void ForwardedRequest::onResponseBody(std::string_view bytes)
 {
     if (m_attempt->isNotRun)
         return;
     if (isStreaming()) {
-        passEvents(bytes);
+        forwardEvents(bytes);
         return;
     }
     m_attempt->body.append(bytes);
-    if (m_attempt->body.size() > MostKeptBody)
-        passLargeBody();
+    if (m_attempt->body.size() > MaxBufferedBody)
+        forwardBufferedBody();
 }
 
-void ForwardedRequest::passLargeBody()
+void ForwardedRequest::forwardBufferedBody()
 {
     if (m_progress == Progress::Nothing)
-        passOwnHead({BodyFraming::Kind::Chunked, 0});
+        forwardHead({BodyFraming::Kind::Chunked, 0});
     m_responder.sendBody(std::exchange(m_attempt->body, {}));
-    if (m_responder.unsentBytes() > MostUnsentBytes)
+    if (m_responder.unsentBytes() > MaxUnsentBytes)
         m_attempt->channel->setReading(false);
 }
 
-void ForwardedRequest::passOwnHead(BodyFraming framing)
+void ForwardedRequest::forwardHead(BodyFraming framing)
 {
     m_progress = Progress::Head;
     m_status = m_attempt->head.status;
-    m_firstAnswer = m_context.loop.now();
+    m_firstByteTime = m_context.loop.now();
     m_responder.sendHead(m_context.dialect.callerResponse(m_attempt->head), framing);
 }
 
-void ForwardedRequest::passEvents(std::string_view bytes)
+void ForwardedRequest::forwardEvents(std::string_view bytes)
 {
-    const WholeEvents events = m_scanner.take(bytes);
+    const CompleteEvents events = m_scanner.take(bytes);
     if (events.count == 0)
         return;
     const Instant now = m_context.loop.now();
@@ -103,24 +103,24 @@
     }
     m_attempt->lastEvent = now;
     if (m_progress == Progress::Nothing)
-        passOwnHead({BodyFraming::Kind::Chunked, 0});
+        forwardHead({BodyFraming::Kind::Chunked, 0});
     m_responder.sendBody(events.bytes);
     m_lastEvent = events.lastId ? events.lastId : m_lastEvent;
-    if (m_responder.unsentBytes() > MostUnsentBytes)
+    if (m_responder.unsentBytes() > MaxUnsentBytes)
         m_attempt->channel->setReading(false);
     if (m_admitted.route->isRetryable())
-        watchSilence(
-            std::max<Duration>(ShortestStall, StallFactor * m_admitted.route->gapObjective));
+        armSilenceTimer(std::max<Duration>(ShortestStallTimeout,
+                                           StallTimeoutFactor * m_admitted.route->gapObjective));
 }
 
-void ForwardedRequest::onAnswerComplete()
+void ForwardedRequest::onResponseComplete()
 {
     if (m_attempt->isNotRun)
         attemptFailed(TargetOutcome::Full, "not-run");
     else if (isStreaming())
         completeStream();
     else
-        completePlain();
+        completeNonStream();
 }
 
 void ForwardedRequest::completeStream()
@@ -131,28 +131,28 @@
         return;
     }
     if (m_progress == Progress::Nothing)
-        passOwnHead({BodyFraming::Kind::Chunked, 0});
+        forwardHead({BodyFraming::Kind::Chunked, 0});
     endAttempt(TargetOutcome::Served);
-    finish(RequestEnd::Answered);
+    finish(RequestOutcome::Answered);
 }
 
-void ForwardedRequest::completePlain()
+void ForwardedRequest::completeNonStream()
 {
     const bool isFailure = m_attempt->head.status >= HttpStatus::FirstServerError;
     if (isFailure && m_progress == Progress::Nothing) {
         m_mayHaveRun = true;
-        m_failedAnswer = m_attempt;
+        m_failedAttempt = m_attempt;
         attemptFailed(TargetOutcome::Failed, "error-status");
         return;
     }
     if (m_progress == Progress::Nothing)
-        passOwnHead({BodyFraming::Kind::Sized, m_attempt->body.size()});
+        forwardHead({BodyFraming::Kind::Sized, m_attempt->body.size()});
     m_responder.sendBody(m_attempt->body);
     endAttempt(TargetOutcome::Served);
-    finish(RequestEnd::Answered);
+    finish(RequestOutcome::Answered);
 }
 
-void ForwardedRequest::onAnswerFailed(ChannelFailure failure)
+void ForwardedRequest::onResponseFailed(ChannelFailure failure)
 {
     if (m_attempt->isNotRun) {
         attemptFailed(TargetOutcome::Full, "not-run");
@@ -160,7 +160,7 @@
     }
     m_mayHaveRun |= failure != ChannelFailure::NotConnected;
     if (failure == ChannelFailure::Broken)
-        m_context.crashes.noteDropped(m_attempt->target, m_fingerprint);
+        m_context.crashes.recordDropped(m_attempt->target, m_fingerprint);
     attemptFailed(outcomeOf(failure), AttemptFailure::causeOf(failure));
 }
 
--- a/packages/gateway/apricothook/gateway/apricothook_forwarded_request.cpp
+++ b/packages/gateway/apricothook/gateway/apricothook_forwarded_request.cpp
@@ -16,17 +16,17 @@
 namespace {
 
 /** Most sends of one request, including those that a target refused. */
-constexpr unsigned MostSends = 4;
+constexpr unsigned MaxSends = 4;
 /** Targets stop at the deadline themselves; allows for their response to arrive. */
-constexpr std::chrono::milliseconds AnswerOnItsWay {60};
+constexpr std::chrono::milliseconds DeadlineGrace {60};
 /** Without this much time before the deadline a request isn't retried. */
-constexpr std::chrono::milliseconds LeastTimeToTry {100};
+constexpr std::chrono::milliseconds MinTimeToRetry {100};
 /** Multiple of the expected time to the first event after which a target is unresponsive. */
-constexpr int SilenceFactor = 3;
+constexpr int FirstEventTimeoutFactor = 3;
 /** Smallest Retry-After for a customer that is over its limit. */
-constexpr std::chrono::milliseconds LimitPause {100};
+constexpr std::chrono::milliseconds ShortestLimitRetryAfter {100};
 /** Retry-After if every target refused the request for lack of free slots. */
-constexpr std::chrono::milliseconds UsualRetryAfter {500};
+constexpr std::chrono::milliseconds DefaultRetryAfter {500};
 
 } // namespace
 
@@ -53,52 +53,52 @@
     m_lastEvent = m_admitted.fields.lastEventId;
     if (!admitted) {
         const AdmissionRefusal &refusal = admitted.error();
-        answerOwn(refusal.end, refusal.status, refusal.retryAfter);
+        sendLocalResponse(refusal.end, refusal.status, refusal.retryAfter);
         return;
     }
     if (m_admitted.deadline <= m_arrived) {
-        answerOwn(RequestEnd::TimedOut, HttpStatus::Unavailable, Duration::zero());
+        sendLocalResponse(RequestOutcome::TimedOut, HttpStatus::Unavailable, Duration::zero());
         return;
     }
     m_fingerprint = fingerprintOf(m_received, m_admitted);
-    if (refuseQuarantined())
+    if (refuseIfQuarantined())
         return;
     m_deadlineTimer = m_context.loop.after(m_admitted.deadline - m_arrived, [this] {
         m_deadlineTimer = 0;
         onDeadline();
     });
-    takeUnits();
+    acquireUnits();
 }
 
-bool ForwardedRequest::refuseQuarantined()
+bool ForwardedRequest::refuseIfQuarantined()
 {
     const std::optional<Duration> left = m_context.suspects->quarantine(m_fingerprint);
     if (!left)
         return false;
     const Duration retryAfter = std::min<Duration>(*left, Dispatcher::LongestRetryAfter);
-    answerOwn(RequestEnd::Quarantined, HttpStatus::Unavailable, retryAfter);
+    sendLocalResponse(RequestOutcome::Quarantined, HttpStatus::Unavailable, retryAfter);
     return true;
 }
 
-void ForwardedRequest::takeUnits()
+void ForwardedRequest::acquireUnits()
 {
     if (!m_admitted.customer) {
         start();
         return;
     }
     const std::optional<LimitDecision> verdict = m_context.limits.take(
-        m_id, *m_admitted.customer, limitClaim(m_context, m_admitted), m_arrived);
+        m_id, *m_admitted.customer, unitDemand(m_context, m_admitted), m_arrived);
     m_waitsForUnits = !verdict;
     if (verdict)
         limitDecided(*verdict);
     else
-        m_context.limitAsked();
+        m_context.unitsRequested();
 }
 
 void ForwardedRequest::start()
 {
-    m_context.retriesOf(m_admitted.service).countRequest(m_arrived);
-    noteSize(m_context, m_admitted);
+    m_context.retryBudgetOf(m_admitted.service).countRequest(m_arrived);
+    recordRequestSize(m_context, m_admitted);
     offer();
 }
 
@@ -110,12 +110,12 @@
         start();
         return;
     }
-    const Duration retryAfter = std::max<Duration>(verdict.retryAfter, LimitPause);
+    const Duration retryAfter = std::max<Duration>(verdict.retryAfter, ShortestLimitRetryAfter);
     // Without a grantor it is unknown whether the customer is over its limit, so no 429.
     if (verdict.source == LimitSource::Nobody)
-        answerOwn(RequestEnd::NoGrantor, HttpStatus::Unavailable, retryAfter);
+        sendLocalResponse(RequestOutcome::NoGrantor, HttpStatus::Unavailable, retryAfter);
     else
-        answerOwn(RequestEnd::OverLimit, HttpStatus::TooManyRequests, retryAfter);
+        sendLocalResponse(RequestOutcome::OverLimit, HttpStatus::TooManyRequests, retryAfter);
 }
 
 void ForwardedRequest::stopWaiting()
@@ -139,7 +139,7 @@
                                  .arrived = isFirst ? m_arrived : now,
                                  .objective = m_admitted.route->objective,
                                  .deadline = m_admitted.deadline,
-                                 .excluded = m_tried},
+                                 .excluded = m_triedTargets},
                                 now);
 }
 
@@ -147,10 +147,10 @@
 {
     m_waiting = false;
     m_refusal = facts;
-    if (m_mayHaveRun || m_progress != Progress::Nothing || m_failedAnswer)
-        giveUp();
+    if (m_mayHaveRun || m_progress != Progress::Nothing || m_failedAttempt)
+        failRequest();
     else
-        answerOwn(RequestEnd::NoRoom, HttpStatus::Unavailable, facts.retryAfter);
+        sendLocalResponse(RequestOutcome::NoRoom, HttpStatus::Unavailable, facts.retryAfter);
 }
 
 void ForwardedRequest::placed(const TargetEntry &target)
@@ -192,7 +192,7 @@
 void ForwardedRequest::send(const TargetEntry &target)
 {
     ++m_sends;
-    m_tried.insert(target.instance());
+    m_triedTargets.insert(target.instance());
     const Instant now = m_context.loop.now();
     const TargetRequestFields fields {
         .timeout = std::max(m_admitted.deadline - now, Duration::zero()),
@@ -215,25 +215,25 @@
                               writeRequestHead(head, framing) + m_received.body,
                               m_received.head.method == "HEAD", *this);
     if (m_admitted.route->isRetryable())
-        watchSilence(firstEventLimit());
+        armSilenceTimer(firstEventTimeout());
 }
 
-Duration ForwardedRequest::firstEventLimit() const
+Duration ForwardedRequest::firstEventTimeout() const
 {
     const Duration expected
         = m_context.targets.expectedTimeToFirstEvent(m_admitted.service, m_admitted.size);
-    return std::max(m_admitted.route->objective, SilenceFactor * expected);
+    return std::max(m_admitted.route->objective, FirstEventTimeoutFactor * expected);
 }
 
-void ForwardedRequest::watchSilence(Duration limit)
+void ForwardedRequest::armSilenceTimer(Duration limit)
 {
     m_context.loop.cancel(m_attempt->silence);
     m_attempt->silence = m_context.loop.after(limit, [this, limit] {
         m_attempt->silence = 0;
         // If no retry is possible, keep waiting: a late response is better than none.
         if (!m_admitted.route->isRetryable() || m_runs + 1 >= m_admitted.route->maximumAttempts
-            || !mayTryAgain()) {
-            watchSilence(limit);
+            || !mayRetry()) {
+            armSilenceTimer(limit);
             return;
         }
         m_attempt->channel->cancel();
@@ -260,19 +260,19 @@
     const bool arrived = cause != AttemptFailure::NotConnected;
     m_runs += arrived && outcome != TargetOutcome::Full ? 1 : 0;
     endAttempt(outcome);
-    if (arrived ? mayTryAgain() : m_sends < MostSends)
+    if (arrived ? mayRetry() : m_sends < MaxSends)
         offer();
     else
-        giveUp();
+        failRequest();
 }
 
-bool ForwardedRequest::mayTryAgain()
+bool ForwardedRequest::mayRetry()
 {
     const Instant now = m_context.loop.now();
     const bool allowed = m_context.policies.repeats
-        && (!m_mayHaveRun || m_admitted.route->isRetryable()) && m_sends < MostSends
+        && (!m_mayHaveRun || m_admitted.route->isRetryable()) && m_sends < MaxSends
         && m_runs < std::max(m_admitted.route->maximumAttempts, 1U)
-        && m_admitted.deadline - now > LeastTimeToTry
+        && m_admitted.deadline - now > MinTimeToRetry
         && !m_context.suspects->quarantine(m_fingerprint);
     if (!allowed)
         return false;
@@ -282,7 +282,7 @@
 bool ForwardedRequest::takeRetry(Instant now)
 {
     const RetryDecision verdict
-        = m_context.retriesOf(m_admitted.service).tryTake(now, m_context.fleetSize);
+        = m_context.retryBudgetOf(m_admitted.service).tryTake(now, m_context.fleetSize);
     LogEvent line(verdict.isGranted ? GatewayEvent::RetryGranted : GatewayEvent::RetryDenied);
     line.forRequest(m_admitted.fields.id)
         .with("service", m_admitted.service.text())
@@ -310,31 +310,32 @@
         m_context.urgency.recordHoldTime(m_admitted.service, m_admitted.route->name,
                                          m_admitted.route->tier, now - m_attempt->started);
     m_attempt.reset();
-    m_context.roomFreed();
+    m_context.capacityFreed();
 }
 
-void ForwardedRequest::giveUp()
+void ForwardedRequest::failRequest()
 {
     if (m_progress != Progress::Nothing) {
-        abort(RequestEnd::TargetFailed);
-    } else if (m_failedAnswer) {
-        m_attempt = std::exchange(m_failedAnswer, std::nullopt);
-        passOwnHead({BodyFraming::Kind::Sized, m_attempt->body.size()});
+        abort(RequestOutcome::TargetFailed);
+    } else if (m_failedAttempt) {
+        m_attempt = std::exchange(m_failedAttempt, std::nullopt);
+        forwardHead({BodyFraming::Kind::Sized, m_attempt->body.size()});
         m_responder.sendBody(m_attempt->body);
         m_attempt.reset();
-        finish(RequestEnd::TargetFailed);
+        finish(RequestOutcome::TargetFailed);
     } else if (m_mayHaveRun) {
-        answerOwn(RequestEnd::TargetFailed, HttpStatus::BadGateway, std::nullopt);
+        sendLocalResponse(RequestOutcome::TargetFailed, HttpStatus::BadGateway, std::nullopt);
     } else {
-        answerOwn(RequestEnd::TargetsRefused, HttpStatus::Unavailable, UsualRetryAfter);
+        sendLocalResponse(RequestOutcome::TargetsRefused, HttpStatus::Unavailable,
+                          DefaultRetryAfter);
     }
 }
 
 void ForwardedRequest::onDeadline()
 {
     const Instant now = m_context.loop.now();
-    if (m_attempt && now < m_admitted.deadline + AnswerOnItsWay) {
-        m_deadlineTimer = m_context.loop.after(m_admitted.deadline + AnswerOnItsWay - now, [this] {
+    if (m_attempt && now < m_admitted.deadline + DeadlineGrace) {
+        m_deadlineTimer = m_context.loop.after(m_admitted.deadline + DeadlineGrace - now, [this] {
             m_deadlineTimer = 0;
             onDeadline();
         });
@@ -348,11 +349,11 @@
     }
     stopWaiting();
     if (m_progress != Progress::Nothing)
-        abort(RequestEnd::TimedOut);
+        abort(RequestOutcome::TimedOut);
     else if (m_mayHaveRun)
-        answerOwn(RequestEnd::TimedOut, HttpStatus::GatewayTimeout, std::nullopt);
+        sendLocalResponse(RequestOutcome::TimedOut, HttpStatus::GatewayTimeout, std::nullopt);
     else
-        answerOwn(RequestEnd::TimedOut, HttpStatus::Unavailable, Duration::zero());
+        sendLocalResponse(RequestOutcome::TimedOut, HttpStatus::Unavailable, Duration::zero());
 }
 
 void ForwardedRequest::onCallerGone()
@@ -361,14 +362,14 @@
         return;
     stopWaiting();
     if (m_attempt) {
-        const bool wasSilent
-            = !m_attempt->hasHead && m_context.loop.now() - m_attempt->started > firstEventLimit();
+        const bool wasSilent = !m_attempt->hasHead
+            && m_context.loop.now() - m_attempt->started > firstEventTimeout();
         m_attempt->channel->cancel();
         endAttempt(wasSilent ? TargetOutcome::Unreachable : TargetOutcome::Cancelled);
     }
     m_progress = Progress::Ended;
     m_context.loop.cancel(m_deadlineTimer);
-    record(RequestEnd::CallerGone);
+    record(RequestOutcome::CallerGone);
 }
 
 void ForwardedRequest::onCallerDrained()
@@ -377,8 +378,8 @@
         m_attempt->channel->setReading(true);
 }
 
-void ForwardedRequest::answerOwn(RequestEnd end, unsigned status,
-                                 std::optional<Duration> retryAfter)
+void ForwardedRequest::sendLocalResponse(RequestOutcome end, unsigned status,
+                                         std::optional<Duration> retryAfter)
 {
     m_status = status;
     m_responder.sendHead(m_context.dialect.localResponse(status, m_admitted.fields.id, retryAfter),
@@ -386,23 +387,23 @@
     finish(end);
 }
 
-void ForwardedRequest::finish(RequestEnd end)
+void ForwardedRequest::finish(RequestOutcome end)
 {
     m_progress = Progress::Ended;
     m_context.loop.cancel(m_deadlineTimer);
     record(end);
-    m_responder.finishAnswer();
+    m_responder.finishResponse();
 }
 
-void ForwardedRequest::abort(RequestEnd end)
+void ForwardedRequest::abort(RequestOutcome end)
 {
     m_progress = Progress::Ended;
     m_context.loop.cancel(m_deadlineTimer);
     record(end);
-    m_responder.abortAnswer();
+    m_responder.abortResponse();
 }
 
-void ForwardedRequest::record(RequestEnd end)
+void ForwardedRequest::record(RequestOutcome end)
 {
     const Instant now = m_context.loop.now();
     RequestRecord record {
@@ -422,8 +423,8 @@
         .refusal = m_refusal,
         .limit = m_limit,
     };
-    if (m_firstAnswer)
-        record.first = *m_firstAnswer - m_arrived;
+    if (m_firstByteTime)
+        record.first = *m_firstByteTime - m_arrived;
     recordRequest(record, m_context.log, m_context.metrics);
 }
 
--- a/packages/gateway/apricothook/gateway/apricothook_forwarded_request.hpp
+++ b/packages/gateway/apricothook/gateway/apricothook_forwarded_request.hpp
@@ -3,7 +3,7 @@
 #include <apricothook/gateway/apricothook_caller_responder.hpp>
 #include <apricothook/gateway/apricothook_event_stream_scanner.hpp>
 #include <apricothook/gateway/apricothook_gateway_context.hpp>
-#include <apricothook/gateway/apricothook_request_end.hpp>
+#include <apricothook/gateway/apricothook_request_outcome.hpp>
 #include <apricothook/gateway/internal/apricothook_attempt.hpp>
 #include <apricothook/gateway/internal/apricothook_request_admission.hpp>
 
@@ -22,7 +22,7 @@
  * target that received it stated that it didn't run it. Otherwise the caller is told that the
  * request may have run.
  */
-class ForwardedRequest : public CallerRequestEvents, private TargetAnswerEvents
+class ForwardedRequest : public CallerRequestEvents, private TargetResponseEvents
 {
 public:
     ForwardedRequest(GatewayContext &context, ExchangeId id, ReceivedRequest request,
@@ -46,38 +46,38 @@
     /** The part of the response that was sent to the caller. */
     enum class Progress { Nothing, Head, Ended };
 
-    void onAnswerHead(const ResponseHead &head, const TargetResponseFields &verdict) override;
-    void onAnswerBody(std::string_view bytes) override;
-    void onAnswerComplete() override;
-    void onAnswerFailed(ChannelFailure failure) override;
+    void onResponseHead(const ResponseHead &head, const TargetResponseFields &verdict) override;
+    void onResponseBody(std::string_view bytes) override;
+    void onResponseComplete() override;
+    void onResponseFailed(ChannelFailure failure) override;
 
     /** Rejects the request and returns true if it is quarantined. */
-    bool refuseQuarantined();
-    void takeUnits();
+    bool refuseIfQuarantined();
+    void acquireUnits();
     void start();
     void offer();
     /** Stops waiting for units or a target. */
     void stopWaiting();
     void send(const TargetEntry &target);
-    void watchSilence(Duration limit);
-    Duration firstEventLimit() const;
+    void armSilenceTimer(Duration limit);
+    Duration firstEventTimeout() const;
     bool isStreaming() const;
-    void passEvents(std::string_view bytes);
-    void passLargeBody();
-    void passOwnHead(BodyFraming framing);
+    void forwardEvents(std::string_view bytes);
+    void forwardBufferedBody();
+    void forwardHead(BodyFraming framing);
     void completeStream();
-    void completePlain();
+    void completeNonStream();
     void attemptFailed(TargetOutcome outcome, std::string_view cause);
     void endAttempt(TargetOutcome outcome);
-    bool mayTryAgain();
+    bool mayRetry();
     /** Takes one retry from the retry budget; false if it is used up. */
     bool takeRetry(Instant now);
-    void giveUp();
+    void failRequest();
     void onDeadline();
-    void answerOwn(RequestEnd end, unsigned status, std::optional<Duration> retryAfter);
-    void abort(RequestEnd end);
-    void finish(RequestEnd end);
-    void record(RequestEnd end);
+    void sendLocalResponse(RequestOutcome end, unsigned status, std::optional<Duration> retryAfter);
+    void abort(RequestOutcome end);
+    void finish(RequestOutcome end);
+    void record(RequestOutcome end);
 
     GatewayContext &m_context;
     const ExchangeId m_id;
@@ -96,13 +96,13 @@
     unsigned m_runs = 0;
     unsigned m_sends = 0;
     unsigned m_status = 0;
-    std::set<TargetInstance> m_tried;
+    std::set<TargetInstance> m_triedTargets;
     std::optional<Attempt> m_attempt;
     /** A target's error response, forwarded if no other attempt succeeds. */
-    std::optional<Attempt> m_failedAnswer;
+    std::optional<Attempt> m_failedAttempt;
     EventStreamScanner m_scanner;
     std::optional<std::uint64_t> m_lastEvent;
-    std::optional<Instant> m_firstAnswer;
+    std::optional<Instant> m_firstByteTime;
     /** Set if the dispatcher refused the request. */
     std::optional<RefusalDetails> m_refusal;
     std::optional<LimitDecision> m_limit;
--- a/packages/gateway/apricothook/gateway/apricothook_gateway.cpp
+++ b/packages/gateway/apricothook/gateway/apricothook_gateway.cpp
@@ -15,10 +15,10 @@
     , m_limits(m_bounds, self, *this, *this, *this, random)
     , m_dispatcher(m_targets, *this, policies)
     , m_channels(loop, dialect, log)
-    , m_crashes(loop,
-                [this](const TargetId &target, const std::vector<Fingerprint> &requests) {
-                    m_context.suspects->recordCrash(target, requests);
-                })
+    , m_crashDetector(loop,
+                      [this](const TargetId &target, const std::vector<Fingerprint> &requests) {
+                          m_context.suspects->recordCrash(target, requests);
+                      })
     , m_context {.loop = loop,
                  .dialect = dialect,
                  .random = random,
@@ -30,19 +30,19 @@
                  .dispatcher = m_dispatcher,
                  .channels = m_channels,
                  .limits = m_limits,
-                 .crashes = m_crashes,
-                 .suspects = &m_noSuspects,
+                 .crashes = m_crashDetector,
+                 .suspects = &m_nullSuspectGuard,
                  .routes = nullptr,
                  .members = 1,
                  .fleetSize = std::nullopt,
-                 .refusesNew = false,
+                 .refusesNewRequests = false,
                  .started = loop.now(),
                  .retries = {},
                  .urgency = {},
                  .sizes = {},
                  .limitReserve = {},
-                 .limitAsked = [this] { scheduleLimitReview(); },
-                 .roomFreed = [this] { scheduleReview(); }}
+                 .unitsRequested = [this] { scheduleLimitReview(); },
+                 .capacityFreed = [this] { scheduleReview(); }}
 {
     m_limits.setFleet({{{self, 1, false}}, 1, true, std::nullopt}, loop.now());
     setFleetSize(1);
@@ -50,7 +50,7 @@
 
 Gateway::~Gateway()
 {
-    m_loop.cancel(m_refusalTimer);
+    m_loop.cancel(m_dispatchTimer);
     m_loop.cancel(m_limitTimer);
 }
 
@@ -176,8 +176,8 @@
     const auto found = m_exchanges.find(exchange.value());
     if (found != m_exchanges.end())
         found->second->placed(target);
-    if (m_loadChanged)
-        m_loadChanged();
+    if (m_loadListener)
+        m_loadListener();
 }
 
 void Gateway::onRefused(ExchangeId exchange, const RefusalDetails &facts)
@@ -230,8 +230,8 @@
 
 void Gateway::scheduleReview()
 {
-    if (m_loadChanged)
-        m_loadChanged();
+    if (m_loadListener)
+        m_loadListener();
     if (std::exchange(m_reviewPending, true))
         return;
     m_loop.defer([this] { review(); });
@@ -241,9 +241,9 @@
 {
     m_reviewPending = false;
     m_dispatcher.review(m_loop.now());
-    m_loop.cancel(m_refusalTimer);
+    m_loop.cancel(m_dispatchTimer);
     if (const std::optional<Instant> next = m_dispatcher.nextTimeout())
-        m_refusalTimer = m_loop.after(*next - m_loop.now(), [this] { scheduleReview(); });
+        m_dispatchTimer = m_loop.after(*next - m_loop.now(), [this] { scheduleReview(); });
 }
 
 } // namespace Apricothook
--- a/packages/gateway/apricothook/gateway/apricothook_gateway.hpp
+++ b/packages/gateway/apricothook/gateway/apricothook_gateway.hpp
@@ -41,9 +41,9 @@
     void setEvacuated(const DataCentreId &dataCentre, bool isEvacuated);
 
     /** From now on each connection is closed after its response. */
-    void startDraining() { m_leaving = true; }
+    void startDraining() { m_draining = true; }
     /** New requests are rejected as not run, as they couldn't complete before the shutdown. */
-    void refuseNewRequests() { m_context.refusesNew = true; }
+    void refuseNewRequests() { m_context.refusesNewRequests = true; }
     /** Stops accepting connections and closes the idle ones. */
     void stopListening();
     std::size_t openRequests() const { return m_exchanges.size(); }
@@ -59,7 +59,7 @@
     /** Must be called after limits() received a message or an update. */
     void scheduleLimitReview();
     /** `changed` is called when this daemon's load or queue may have changed. */
-    void setLoadListener(std::function<void()> changed) { m_loadChanged = std::move(changed); }
+    void setLoadListener(std::function<void()> changed) { m_loadListener = std::move(changed); }
     /** Dispatches waiting requests after the current event. */
     void scheduleReview();
 
@@ -70,7 +70,7 @@
     Duration headTimeout() const override { return limits().headTimeout; }
     Duration idleTimeout() const override { return limits().idleTimeout; }
     const WireProtocol &dialect() const override { return m_context.dialect; }
-    bool isLeaving() const override { return m_leaving; }
+    bool isDraining() const override { return m_draining; }
 
     void onPlaced(ExchangeId exchange, const TargetEntry &target) override;
     void onRefused(ExchangeId exchange, const RefusalDetails &facts) override;
@@ -92,18 +92,18 @@
     CustomerRateLimiter m_limits;
     Dispatcher m_dispatcher;
     ChannelPool m_channels;
-    NullSuspectGuard m_noSuspects;
-    CrashWatch m_crashes;
+    NullSuspectGuard m_nullSuspectGuard;
+    CrashDetector m_crashDetector;
     GatewayContext m_context;
     std::unique_ptr<Listener> m_listener;
     std::list<std::unique_ptr<CallerConnection>> m_connections;
     std::unordered_map<std::uint64_t, std::unique_ptr<ForwardedRequest>> m_exchanges;
     std::uint64_t m_lastExchange = 0;
-    bool m_leaving = false;
+    bool m_draining = false;
     bool m_reviewPending = false;
-    TimerId m_refusalTimer = 0;
+    TimerId m_dispatchTimer = 0;
     TimerId m_limitTimer = 0;
-    std::function<void()> m_loadChanged;
+    std::function<void()> m_loadListener;
 };
 
 } // namespace Apricothook
--- a/packages/gateway/apricothook/gateway/apricothook_gateway_context.hpp
+++ b/packages/gateway/apricothook/gateway/apricothook_gateway_context.hpp
@@ -9,7 +9,7 @@
 #include <apricothook/dispatch/apricothook_route_urgency.hpp>
 #include <apricothook/dispatch/apricothook_size_order.hpp>
 #include <apricothook/gateway/apricothook_channel_pool.hpp>
-#include <apricothook/gateway/apricothook_crash_watch.hpp>
+#include <apricothook/gateway/apricothook_crash_detector.hpp>
 #include <apricothook/gateway/apricothook_suspect_guard.hpp>
 #include <apricothook/observe/apricothook_metrics.hpp>
 
@@ -34,7 +34,7 @@
     Dispatcher &dispatcher;
     ChannelPool &channels;
     CustomerRateLimiter &limits;
-    CrashWatch &crashes;
+    CrashDetector &crashes;
     /** Never null. */
     SuspectGuard *suspects;
     /** Null until the first configuration is received. */
@@ -44,7 +44,7 @@
     /** Number of daemons that share the fleet-wide bounds; unknown after a start. */
     std::optional<std::size_t> fleetSize;
     /** The process is shutting down. */
-    bool refusesNew = false;
+    bool refusesNewRequests = false;
     /** When the gateway was created. */
     const Instant started {};
     std::map<ServiceId, RetryBudgetShare> retries;
@@ -52,11 +52,11 @@
     SizeOrder sizes;
     LimitReserve limitReserve;
     /** Called when a request starts to wait for its customer's units. */
-    std::function<void()> limitAsked;
+    std::function<void()> unitsRequested;
     /** Called when a slot of a target may have become free. */
-    std::function<void()> roomFreed;
+    std::function<void()> capacityFreed;
 
-    RetryBudgetShare &retriesOf(const ServiceId &service)
+    RetryBudgetShare &retryBudgetOf(const ServiceId &service)
     {
         return retries.try_emplace(service, bounds, started).first->second;
     }
--- a/packages/gateway/apricothook/gateway/apricothook_request_end.hpp
+++ b/packages/gateway/apricothook/gateway/apricothook_request_outcome.hpp
@@ -5,7 +5,7 @@
 namespace Apricothook {
 
 /** How a request ended; nameOf() gives the names used in the log and in docs/OPERATIONS.md. */
-enum class RequestEnd {
+enum class RequestOutcome {
     Answered,
     NoConfiguration,
     Leaving,
@@ -22,6 +22,6 @@
     CallerGone,
 };
 
-std::string_view nameOf(RequestEnd end);
+std::string_view nameOf(RequestOutcome end);
 
 } // namespace Apricothook
--- a/packages/gateway/apricothook/gateway/apricothook_target_channel.cpp
+++ b/packages/gateway/apricothook/gateway/apricothook_target_channel.cpp
@@ -7,7 +7,7 @@
 TargetChannel::TargetChannel(EventLoop &loop, const WireProtocol &dialect,
                              TargetChannelOwner &owner, const TargetEntry &target)
     : m_loop(loop)
-    , m_dialect(dialect)
+    , m_protocol(dialect)
     , m_owner(owner)
     , m_target(target)
     , m_socket(loop, *this, target.address)
@@ -24,23 +24,23 @@
     m_loop.cancel(m_connectTimer);
 }
 
-void TargetChannel::start(const RequestKey &request, std::string_view bytes, bool answersHead,
-                          TargetAnswerEvents &events)
+void TargetChannel::start(const RequestKey &request, std::string_view bytes, bool isHeadResponse,
+                          TargetResponseEvents &events)
 {
     m_request = request;
     m_events = &events;
-    m_answersHead = answersHead;
-    m_strays = 0;
-    resetAnswer();
+    m_isHeadResponse = isHeadResponse;
+    m_unexpectedResponses = 0;
+    resetResponse();
     m_socket.setReading(true);
     m_socket.send(bytes);
 }
 
-void TargetChannel::resetAnswer()
+void TargetChannel::resetResponse()
 {
-    m_reader = ResponseReader(m_answersHead);
-    m_headTold = false;
-    m_isStray = false;
+    m_reader = ResponseReader(m_isHeadResponse);
+    m_headReported = false;
+    m_isUnexpected = false;
 }
 
 void TargetChannel::cancel()
@@ -68,14 +68,14 @@
 void TargetChannel::onData(std::string_view bytes)
 {
     if (m_events) {
-        readAnswer(bytes);
+        readResponse(bytes);
         return;
     }
-    m_owner.onStrayAnswer(*this);
+    m_owner.onUnexpectedResponse(*this);
     close();
 }
 
-void TargetChannel::readAnswer(std::string_view bytes)
+void TargetChannel::readResponse(std::string_view bytes)
 {
     while (m_events && !bytes.empty()) {
         const Result<std::size_t, MessageError> taken = m_reader.feed(bytes);
@@ -85,69 +85,69 @@
             return;
         }
         bytes.remove_prefix(taken.value());
-        if (!takeHead())
+        if (!processHead())
             return;
         const std::string body = m_reader.takeBody();
-        if (!m_isStray && !body.empty())
-            m_events->onAnswerBody(body);
+        if (!m_isUnexpected && !body.empty())
+            m_events->onResponseBody(body);
         // The handler may have cancelled the request.
         if (!m_events || !m_reader.isComplete())
             return;
-        if (m_isStray)
-            resetAnswer();
+        if (m_isUnexpected)
+            resetResponse();
         else
-            completeAnswer(!bytes.empty());
+            completeResponse(!bytes.empty());
     }
 }
 
-bool TargetChannel::takeHead()
+bool TargetChannel::processHead()
 {
-    if (m_headTold || !m_reader.hasHead())
-        return m_headTold;
-    m_headTold = true;
-    const TargetResponseFields verdict = m_dialect.targetResponse(m_reader.head());
+    if (m_headReported || !m_reader.hasHead())
+        return m_headReported;
+    m_headReported = true;
+    const TargetResponseFields verdict = m_protocol.targetResponse(m_reader.head());
     if (verdict.keepAliveSeconds)
-        m_kept = std::chrono::seconds(*verdict.keepAliveSeconds);
-    m_isStray = !verdict.requestId.isEmpty() && verdict.requestId != m_request;
-    if (!m_isStray) {
-        m_events->onAnswerHead(m_reader.head(), verdict);
+        m_keepAliveTimeout = std::chrono::seconds(*verdict.keepAliveSeconds);
+    m_isUnexpected = !verdict.requestId.isEmpty() && verdict.requestId != m_request;
+    if (!m_isUnexpected) {
+        m_events->onResponseHead(m_reader.head(), verdict);
         return m_events != nullptr;
     }
-    m_owner.onStrayAnswer(*this);
-    if (++m_strays <= MostStrayAnswers)
+    m_owner.onUnexpectedResponse(*this);
+    if (++m_unexpectedResponses <= MaxUnexpectedResponses)
         return true;
     m_socket.abort();
     fail(ChannelFailure::Malformed);
     return false;
 }
 
-void TargetChannel::completeAnswer(bool hasMoreBytes)
+void TargetChannel::completeResponse(bool hasMoreBytes)
 {
     // A response may arrive before the request was sent completely. The target would then read the
     // next request as the rest of this body, so the channel isn't reused.
-    const bool reusable = m_reader.head().isKeepAlive && !m_reader.head().endsWithConnection
+    const bool reusable = m_reader.head().isKeepAlive && !m_reader.head().bodyEndsAtClose
         && m_socket.isOpen() && m_socket.unsentBytes() == 0 && !hasMoreBytes;
-    TargetAnswerEvents *events = std::exchange(m_events, nullptr);
+    TargetResponseEvents *events = std::exchange(m_events, nullptr);
     if (hasMoreBytes)
-        m_owner.onStrayAnswer(*this);
+        m_owner.onUnexpectedResponse(*this);
     if (reusable) {
         m_idleSince = m_loop.now();
         m_owner.onChannelIdle(*this);
     } else {
         close();
     }
-    events->onAnswerComplete();
+    events->onResponseComplete();
 }
 
 void TargetChannel::onEnd(CloseReason end)
 {
     m_loop.cancel(m_connectTimer);
-    const bool isWhole = m_events && !m_isStray && m_headTold && end == CloseReason::PeerClosed
-        && m_reader.finish().has_value();
+    const bool isWhole = m_events && !m_isUnexpected && m_headReported
+        && end == CloseReason::PeerClosed && m_reader.finish().has_value();
     if (isWhole) {
-        TargetAnswerEvents *events = std::exchange(m_events, nullptr);
+        TargetResponseEvents *events = std::exchange(m_events, nullptr);
         m_owner.onChannelClosed(*this);
-        events->onAnswerComplete();
+        events->onResponseComplete();
         return;
     }
     fail(m_connected ? ChannelFailure::Broken : ChannelFailure::NotConnected);
@@ -156,10 +156,10 @@
 void TargetChannel::fail(ChannelFailure failure)
 {
     m_loop.cancel(m_connectTimer);
-    TargetAnswerEvents *events = std::exchange(m_events, nullptr);
+    TargetResponseEvents *events = std::exchange(m_events, nullptr);
     m_owner.onChannelClosed(*this);
     if (events)
-        events->onAnswerFailed(failure);
+        events->onResponseFailed(failure);
 }
 
 } // namespace Apricothook
--- a/packages/gateway/apricothook/gateway/apricothook_target_channel.hpp
+++ b/packages/gateway/apricothook/gateway/apricothook_target_channel.hpp
@@ -17,14 +17,14 @@
 };
 
 /** Receives the response to one request. */
-class TargetAnswerEvents
+class TargetResponseEvents
 {
 public:
-    virtual ~TargetAnswerEvents() = default;
-    virtual void onAnswerHead(const ResponseHead &head, const TargetResponseFields &verdict) = 0;
-    virtual void onAnswerBody(std::string_view bytes) = 0;
-    virtual void onAnswerComplete() = 0;
-    virtual void onAnswerFailed(ChannelFailure failure) = 0;
+    virtual ~TargetResponseEvents() = default;
+    virtual void onResponseHead(const ResponseHead &head, const TargetResponseFields &verdict) = 0;
+    virtual void onResponseBody(std::string_view bytes) = 0;
+    virtual void onResponseComplete() = 0;
+    virtual void onResponseFailed(ChannelFailure failure) = 0;
 };
 
 class TargetChannel;
@@ -37,7 +37,7 @@
     virtual void onChannelIdle(TargetChannel &channel) = 0;
     /** Must not destroy the channel during the current event of the loop. */
     virtual void onChannelClosed(TargetChannel &channel) = 0;
-    virtual void onStrayAnswer(const TargetChannel &channel) = 0;
+    virtual void onUnexpectedResponse(const TargetChannel &channel) = 0;
 };
 
 /**
@@ -53,7 +53,7 @@
     /** A round trip takes milliseconds; a slower target is down or its listen queue is full. */
     static constexpr std::chrono::milliseconds ConnectTimeout {150};
     /** Responses to other requests that are discarded before the channel is closed. */
-    static constexpr unsigned MostStrayAnswers = 2;
+    static constexpr unsigned MaxUnexpectedResponses = 2;
 
     TargetChannel(EventLoop &loop, const WireProtocol &dialect, TargetChannelOwner &owner,
                   const TargetEntry &target);
@@ -61,9 +61,9 @@
     TargetChannel(const TargetChannel &) = delete;
     TargetChannel &operator=(const TargetChannel &) = delete;
 
-    /** `answersHead`: the request's method is HEAD, so the response has no body. */
-    void start(const RequestKey &request, std::string_view bytes, bool answersHead,
-               TargetAnswerEvents &events);
+    /** `isHeadResponse`: the request's method is HEAD, so the response has no body. */
+    void start(const RequestKey &request, std::string_view bytes, bool isHeadResponse,
+               TargetResponseEvents &events);
     /** Cancels the request by closing the connection, on which the target stops working. */
     void cancel();
     void setReading(bool reading) { m_socket.setReading(reading); }
@@ -73,33 +73,33 @@
     bool isIdle() const { return !m_events && m_socket.isOpen(); }
     Instant idleSince() const { return m_idleSince; }
     /** The target's keep-alive timeout, if it stated one. */
-    std::optional<Duration> kept() const { return m_kept; }
+    std::optional<Duration> kept() const { return m_keepAliveTimeout; }
 
 private:
     void onConnected() override;
     void onData(std::string_view bytes) override;
     void onEnd(CloseReason end) override;
 
-    void readAnswer(std::string_view bytes);
-    bool takeHead();
-    void completeAnswer(bool hasMoreBytes);
+    void readResponse(std::string_view bytes);
+    bool processHead();
+    void completeResponse(bool hasMoreBytes);
     void fail(ChannelFailure failure);
-    void resetAnswer();
+    void resetResponse();
 
     EventLoop &m_loop;
-    const WireProtocol &m_dialect;
+    const WireProtocol &m_protocol;
     TargetChannelOwner &m_owner;
     const TargetEntry m_target;
-    TargetAnswerEvents *m_events = nullptr;
+    TargetResponseEvents *m_events = nullptr;
     RequestKey m_request;
-    bool m_answersHead = false;
+    bool m_isHeadResponse = false;
     bool m_connected = false;
-    bool m_headTold = false;
-    bool m_isStray = false;
-    unsigned m_strays = 0;
+    bool m_headReported = false;
+    bool m_isUnexpected = false;
+    unsigned m_unexpectedResponses = 0;
     ResponseReader m_reader {false};
     Instant m_idleSince {};
-    std::optional<Duration> m_kept;
+    std::optional<Duration> m_keepAliveTimeout;
     TimerId m_connectTimer = 0;
     StreamSocket m_socket;
 };
--- a/packages/gateway/apricothook/gateway/internal/apricothook_request_admission.cpp
+++ b/packages/gateway/apricothook/gateway/internal/apricothook_request_admission.cpp
@@ -10,24 +10,25 @@
 namespace {
 
 /** Used if nothing is known about when the request could be served. */
-constexpr std::chrono::milliseconds UsualRetryAfter {500};
+constexpr std::chrono::milliseconds DefaultRetryAfter {500};
 
 Result<void, AdmissionRefusal> findRoute(GatewayContext &context, AdmittedRequest &request)
 {
     const RouteTable &routes = *request.routes;
     request.route = routes.route(request.fields.host, request.fields.path);
     if (!request.route)
-        return AdmissionRefusal {RequestEnd::NoRoute, HttpStatus::NotFound, std::nullopt};
+        return AdmissionRefusal {RequestOutcome::NoRoute, HttpStatus::NotFound, std::nullopt};
     request.customer = routes.customerOfKey(request.fields.customerKey);
     if (!request.customer && routes.hasCustomers() && !request.route->isPublic)
-        return AdmissionRefusal {RequestEnd::UnknownKey, HttpStatus::Unauthorized, std::nullopt};
+        return AdmissionRefusal {RequestOutcome::UnknownKey, HttpStatus::Unauthorized,
+                                 std::nullopt};
     request.service = serviceOf(*request.route, context.random.next());
     request.randomDraw = static_cast<double>(context.random.next())
         / static_cast<double>(std::numeric_limits<std::uint64_t>::max());
     return Outcomes::success();
 }
 
-void describeWork(Instant begun, AdmittedRequest &request)
+void setSizeAndDeadline(Instant begun, AdmittedRequest &request)
 {
     const RouteRule &route = *request.route;
     const bool hasTier = request.customer && request.customer->tier;
@@ -42,7 +43,7 @@
     request.deadline = begun + std::min(patience, route.timeout);
 }
 
-double limitUnits(const AdmittedRequest &request)
+double demandedUnits(const AdmittedRequest &request)
 {
     if (request.customer->unit == LimitUnit::Requests)
         return 1;
@@ -63,24 +64,25 @@
     const Result<RequestFields, RequestFieldsError> fields
         = context.dialect.callerRequest(received.head);
     if (!fields)
-        return AdmissionRefusal {RequestEnd::BadRequest, HttpStatus::BadRequest, std::nullopt};
+        return AdmissionRefusal {RequestOutcome::BadRequest, HttpStatus::BadRequest, std::nullopt};
     request.fields = fields.value();
     if (!context.routes) {
-        return AdmissionRefusal {RequestEnd::NoConfiguration, HttpStatus::Unavailable,
-                                 UsualRetryAfter};
+        return AdmissionRefusal {RequestOutcome::NoConfiguration, HttpStatus::Unavailable,
+                                 DefaultRetryAfter};
     }
-    if (context.refusesNew)
-        return AdmissionRefusal {RequestEnd::Leaving, HttpStatus::Unavailable, Duration::zero()};
+    if (context.refusesNewRequests)
+        return AdmissionRefusal {RequestOutcome::Leaving, HttpStatus::Unavailable,
+                                 Duration::zero()};
     request.routes = context.routes;
     BOOST_OUTCOME_TRY(findRoute(context, request));
-    describeWork(received.begun, request);
+    setSizeAndDeadline(received.begun, request);
     return Outcomes::success();
 }
 
-UnitDemand limitClaim(GatewayContext &context, const AdmittedRequest &request)
+UnitDemand unitDemand(GatewayContext &context, const AdmittedRequest &request)
 {
     const LimitUnit unit = request.customer->unit;
-    UnitDemand claim {limitUnits(request), 0};
+    UnitDemand claim {demandedUnits(request), 0};
     context.limitReserve.recordUnits(unit, *request.route, claim.units);
     if (context.policies.limitReserve)
         claim.reservedFraction = context.limitReserve.reservedFraction(unit, *request.route);
--- a/packages/gateway/apricothook/gateway/internal/apricothook_request_admission.hpp
+++ b/packages/gateway/apricothook/gateway/internal/apricothook_request_admission.hpp
@@ -2,7 +2,7 @@
 
 #include <apricothook/gateway/apricothook_caller_responder.hpp>
 #include <apricothook/gateway/apricothook_gateway_context.hpp>
-#include <apricothook/gateway/apricothook_request_end.hpp>
+#include <apricothook/gateway/apricothook_request_outcome.hpp>
 #include <apricothook/model/apricothook_result.hpp>
 
 #include <memory>
@@ -32,7 +32,7 @@
 /** Why a request isn't admitted, and the response to its caller. */
 struct AdmissionRefusal
 {
-    RequestEnd end = RequestEnd::BadRequest;
+    RequestOutcome end = RequestOutcome::BadRequest;
     unsigned status = 0;
     std::optional<Duration> retryAfter;
 };
@@ -42,6 +42,6 @@
                                      AdmittedRequest &request);
 
 /** The units that an admitted request needs from its customer's limit. */
-UnitDemand limitClaim(GatewayContext &context, const AdmittedRequest &request);
+UnitDemand unitDemand(GatewayContext &context, const AdmittedRequest &request);
 
 } // namespace Apricothook
--- a/packages/gateway/apricothook/gateway/internal/apricothook_request_rank.cpp
+++ b/packages/gateway/apricothook/gateway/internal/apricothook_request_rank.cpp
@@ -20,7 +20,7 @@
 
 } // namespace
 
-void noteSize(GatewayContext &context, const AdmittedRequest &request)
+void recordRequestSize(GatewayContext &context, const AdmittedRequest &request)
 {
     if (isOrderedBySize(context, request))
         context.sizes.recordSize(request.route->name, expectedTime(context, request));
--- a/packages/gateway/apricothook/gateway/internal/apricothook_request_rank.hpp
+++ b/packages/gateway/apricothook/gateway/internal/apricothook_request_rank.hpp
@@ -5,7 +5,7 @@
 namespace Apricothook {
 
 /** Adds the size of a new request to the statistics of its route. */
-void noteSize(GatewayContext &context, const AdmittedRequest &request);
+void recordRequestSize(GatewayContext &context, const AdmittedRequest &request);
 
 /**
  * Priority of a request in its service's queue: ordered by the customer's tier, then by the route's
--- a/packages/gateway/apricothook/gateway/internal/apricothook_request_record.cpp
+++ b/packages/gateway/apricothook/gateway/internal/apricothook_request_record.cpp
@@ -8,18 +8,18 @@
 
 GatewayEvent eventOf(const RequestRecord &record)
 {
-    if (record.end == RequestEnd::Answered)
+    if (record.end == RequestOutcome::Answered)
         return GatewayEvent::RequestAnswered;
-    if (record.end == RequestEnd::CallerGone)
+    if (record.end == RequestOutcome::CallerGone)
         return GatewayEvent::CallerGone;
     return record.mayHaveRun ? GatewayEvent::RequestFailed : GatewayEvent::RequestRefused;
 }
 
 RequestResult resultOf(const RequestRecord &record)
 {
-    if (record.end == RequestEnd::Answered)
+    if (record.end == RequestOutcome::Answered)
         return RequestResult::Answered;
-    if (record.end == RequestEnd::CallerGone)
+    if (record.end == RequestOutcome::CallerGone)
         return RequestResult::CallerLeft;
     return record.mayHaveRun ? RequestResult::Unknown : RequestResult::NotRun;
 }
@@ -78,7 +78,7 @@
         addRefusal(line, *record.refusal);
     if (record.limit)
         addLimit(line, *record.limit);
-    if (record.end == RequestEnd::Answered)
+    if (record.end == RequestOutcome::Answered)
         line.markRoutine();
     log.write(line);
 }
--- a/packages/gateway/apricothook/gateway/internal/apricothook_request_record.hpp
+++ b/packages/gateway/apricothook/gateway/internal/apricothook_request_record.hpp
@@ -2,7 +2,7 @@
 
 #include <apricothook/dispatch/apricothook_customer_rate_limiter.hpp>
 #include <apricothook/dispatch/apricothook_dispatcher.hpp>
-#include <apricothook/gateway/apricothook_request_end.hpp>
+#include <apricothook/gateway/apricothook_request_outcome.hpp>
 #include <apricothook/observe/apricothook_metrics.hpp>
 #include <apricothook/observe/apricothook_structured_log.hpp>
 
@@ -13,7 +13,7 @@
 /** The data that is logged and counted when a request ends. */
 struct RequestRecord
 {
-    RequestEnd end = RequestEnd::Answered;
+    RequestOutcome end = RequestOutcome::Answered;
     RequestKey id;
     ClassId route;
     CustomerId customer;
--- a/packages/gateway/tests/apricothook_gateway_caller_tests.cpp
+++ b/packages/gateway/tests/apricothook_gateway_caller_tests.cpp
@@ -1,4 +1,4 @@
-#include <apricothook_gateway_bench.hpp>
+#include <apricothook_gateway_fixture.hpp>
 
 #include <doctest/doctest.h>
 
@@ -7,15 +7,15 @@
 namespace {
 
 /** The status of the first response; zero if there is none. */
-int statusOf(const HeldConnection &caller)
+int statusOf(const RecordingConnection &caller)
 {
     constexpr std::size_t Start = 9;
     return caller.received.size() > Start ? std::stoi(caller.received.substr(Start, 3)) : 0;
 }
 
-int answerTo(GatewayBench &bench, const std::string &bytes)
+int answerTo(GatewayFixture &bench, const std::string &bytes)
 {
-    HeldConnection &caller = bench.connect();
+    RecordingConnection &caller = bench.connect();
     caller.socket.send(bytes);
     bench.until([&] { return caller.has("\r\n\r\n") || caller.end; });
     return statusOf(caller);
@@ -27,7 +27,7 @@
 {
     // Guards against request smuggling: a proxy on the path that frames such a request differently
     // would treat the rest of its body as another request. Expected: 400, and nothing is forwarded.
-    GatewayBench bench;
+    GatewayFixture bench;
     const std::string start = "POST /once/x HTTP/1.1\r\nHost: host\r\nId: a\r\n";
     const std::string smuggled = "GET /once/y HTTP/1.1\r\nHost: host\r\nId: b\r\n\r\n";
     CHECK(answerTo(bench,
@@ -42,19 +42,19 @@
     CHECK(answerTo(bench, start + "Content-Length: -1\r\n\r\n" + smuggled) == 400);
     CHECK(answerTo(bench, start + "Host: other\r\n\r\n" + smuggled) == 400);
     CHECK(answerTo(bench, "nonsense\r\n\r\n" + smuggled) == 400);
-    bench.settle();
+    bench.runPendingEvents();
     CHECK(bench.target(0).requests() == 0);
 }
 
 TEST_CASE("oversized and invalid requests are rejected")
 {
-    GatewayBench bench;
-    CHECK(answerTo(bench, GatewayBench::request("once", "a", std::string(3000, 'x'))) == 413);
+    GatewayFixture bench;
+    CHECK(answerTo(bench, GatewayFixture::request("once", "a", std::string(3000, 'x'))) == 413);
     CHECK(answerTo(bench,
                    "GET /once/x HTTP/1.1\r\nHost: host\r\nId: a\r\nLong: " + std::string(2000, 'x')
                        + "\r\n\r\n")
           == 431);
-    CHECK(answerTo(bench, GatewayBench::request("nowhere", "a")) == 404);
+    CHECK(answerTo(bench, GatewayFixture::request("nowhere", "a")) == 404);
     CHECK(answerTo(bench, "GET /once/x HTTP/1.1\r\nHost: host\r\n\r\n") == 400);
     CHECK(bench.target(0).requests() == 0);
 }
@@ -63,10 +63,10 @@
 {
     // Otherwise slow callers could exhaust the daemon's descriptors. Expected: 408 after the head
     // timeout, then the connection is closed.
-    GatewayBench bench;
-    HeldConnection &caller = bench.connect();
+    GatewayFixture bench;
+    RecordingConnection &caller = bench.connect();
     caller.socket.send("GET /once/x HTTP/1.1\r\nHost: ho");
-    bench.settle();
+    bench.runPendingEvents();
     bench.clock.advance(std::chrono::milliseconds(3100));
     REQUIRE(bench.until([&] { return caller.has("\r\n\r\n"); }));
     CHECK(statusOf(caller) == 408);
@@ -76,24 +76,24 @@
 TEST_CASE("an incomplete request is not forwarded")
 {
     // The caller disconnects after half of the body; the request must not run.
-    GatewayBench bench;
-    HeldConnection &caller = bench.connect();
+    GatewayFixture bench;
+    RecordingConnection &caller = bench.connect();
     caller.socket.send(
         "POST /once/x HTTP/1.1\r\nHost: host\r\nId: a\r\nContent-Length: 10\r\n\r\nhalf");
-    bench.settle();
+    bench.runPendingEvents();
     caller.socket.close();
     CHECK(bench.until([&] { return bench.gateway.callerConnections() == 0; }));
-    bench.settle();
+    bench.runPendingEvents();
     CHECK(bench.target(0).requests() == 0);
 }
 
 TEST_CASE("an idle connection is closed after the idle timeout and not before")
 {
-    GatewayBench bench;
-    HeldConnection &caller = bench.connect();
-    bench.settle();
+    GatewayFixture bench;
+    RecordingConnection &caller = bench.connect();
+    bench.runPendingEvents();
     bench.clock.advance(std::chrono::seconds(14));
-    bench.settle();
+    bench.runPendingEvents();
     CHECK_FALSE(caller.end);
     bench.clock.advance(std::chrono::seconds(2));
     CHECK(bench.until([&] { return caller.end.has_value(); }));
@@ -103,13 +103,13 @@
 {
     // The caller's request and the daemon's close cross on the wire. The caller gets no response
     // and may retry elsewhere, so the request must not run here.
-    GatewayBench bench;
-    HeldConnection &caller = bench.connect();
-    bench.settle();
+    GatewayFixture bench;
+    RecordingConnection &caller = bench.connect();
+    bench.runPendingEvents();
     bench.gateway.stopListening();
-    caller.socket.send(GatewayBench::request("once", "a"));
+    caller.socket.send(GatewayFixture::request("once", "a"));
     CHECK(bench.until([&] { return caller.end.has_value(); }));
-    bench.settle();
+    bench.runPendingEvents();
     CHECK(bench.target(0).requests() == 0);
 }
 
@@ -117,9 +117,9 @@
 {
     // The caller sends a body that is too large and reads the response only afterwards. Closing
     // with unread bytes would reset the connection and discard the response.
-    GatewayBench bench;
-    HeldConnection &caller = bench.connect();
-    caller.socket.send(GatewayBench::request("once", "a", std::string(3000, 'x')));
+    GatewayFixture bench;
+    RecordingConnection &caller = bench.connect();
+    caller.socket.send(GatewayFixture::request("once", "a", std::string(3000, 'x')));
     for (int i = 0; i < 20; ++i) {
         bench.loop.runOnce(std::chrono::milliseconds(1));
         caller.socket.send(std::string(3000, 'x'));
@@ -131,25 +131,25 @@
 
 TEST_CASE("a chunked body is forwarded completely")
 {
-    GatewayBench bench;
-    HeldConnection &caller = bench.connect();
+    GatewayFixture bench;
+    RecordingConnection &caller = bench.connect();
     caller.socket.send(
         "POST /once/x HTTP/1.1\r\nHost: host\r\nId: a\r\nTransfer-Encoding: chunked\r\n\r\n"
         "3\r\nabc\r\n2;note=1\r\nde\r\n0\r\n\r\n");
-    REQUIRE(bench.targetWith());
+    REQUIRE(bench.waitForTarget());
     CHECK(bench.target(0).connection(0).has("Content-Length: 5\r\n"));
     CHECK(bench.target(0).connection(0).received.ends_with("abcde"));
 }
 
 TEST_CASE("hop-by-hop headers are not forwarded")
 {
-    GatewayBench bench;
-    HeldConnection &caller = bench.connect();
+    GatewayFixture bench;
+    RecordingConnection &caller = bench.connect();
     caller.socket.send(
         "GET /once/x HTTP/1.1\r\nHost: host\r\nId: a\r\nConnection: Secret\r\nSecret: 1\r\n"
         "TE: trailers\r\nUpgrade: h2c\r\nKept: yes\r\n\r\n");
-    REQUIRE(bench.targetWith());
-    const HeldConnection &run = bench.target(0).connection(0);
+    REQUIRE(bench.waitForTarget());
+    const RecordingConnection &run = bench.target(0).connection(0);
     CHECK(run.has("Kept: yes\r\n"));
     CHECK_FALSE(run.has("Secret"));
     CHECK_FALSE(run.has("Upgrade"));
@@ -158,12 +158,12 @@
 
 TEST_CASE("a daemon that shuts down closes each connection after its response")
 {
-    GatewayBench bench;
-    HeldConnection &caller = bench.connect();
-    caller.socket.send(GatewayBench::request("once", "a"));
-    REQUIRE(bench.targetWith());
+    GatewayFixture bench;
+    RecordingConnection &caller = bench.connect();
+    caller.socket.send(GatewayFixture::request("once", "a"));
+    REQUIRE(bench.waitForTarget());
     bench.gateway.startDraining();
-    bench.target(0).connection(0).socket.send(wholeAnswer("a", "last"));
+    bench.target(0).connection(0).socket.send(signedResponse("a", "last"));
     REQUIRE(bench.until([&] { return caller.end.has_value(); }));
     CHECK(*caller.end == CloseReason::PeerClosed);
     CHECK(caller.has("Connection: close\r\n"));
@@ -172,25 +172,25 @@
 
 TEST_CASE("the upload time of a slow body is deducted from the timeout for the target")
 {
-    GatewayBench bench;
-    HeldConnection &caller = bench.connect();
+    GatewayFixture bench;
+    RecordingConnection &caller = bench.connect();
     caller.socket.send("POST /once/x HTTP/1.1\r\nHost: host\r\nId: a\r\nPatience: 900\r\n"
                        "Content-Length: 4\r\n\r\nab");
-    bench.settle();
+    bench.runPendingEvents();
     bench.clock.advance(std::chrono::milliseconds(600));
     caller.socket.send("cd");
-    ScriptedTarget *target = bench.targetWith();
+    ScriptedTarget *target = bench.waitForTarget();
     REQUIRE(target);
     CHECK(target->connection(0).has("Patience: 300\r\n"));
 }
 
 TEST_CASE("a request that times out before its body is complete is rejected as not run")
 {
-    GatewayBench bench;
-    HeldConnection &caller = bench.connect();
+    GatewayFixture bench;
+    RecordingConnection &caller = bench.connect();
     caller.socket.send("POST /once/x HTTP/1.1\r\nHost: host\r\nId: a\r\nPatience: 500\r\n"
                        "Content-Length: 4\r\n\r\nab");
-    bench.settle();
+    bench.runPendingEvents();
     bench.clock.advance(std::chrono::milliseconds(600));
     caller.socket.send("cd");
     bench.until([&] { return caller.has("\r\n\r\n"); });
@@ -200,12 +200,12 @@
 
 TEST_CASE("the idle time of a connection is not deducted from the timeout of its next request")
 {
-    GatewayBench bench;
-    HeldConnection &caller = bench.connect();
-    bench.settle();
+    GatewayFixture bench;
+    RecordingConnection &caller = bench.connect();
+    bench.runPendingEvents();
     bench.clock.advance(std::chrono::milliseconds(600));
     caller.socket.send("GET /once/x HTTP/1.1\r\nHost: host\r\nId: a\r\nPatience: 900\r\n\r\n");
-    ScriptedTarget *target = bench.targetWith();
+    ScriptedTarget *target = bench.waitForTarget();
     REQUIRE(target);
     CHECK(target->connection(0).has("Patience: 900\r\n"));
 }
--- a/packages/gateway/tests/apricothook_gateway_crash_tests.cpp
+++ b/packages/gateway/tests/apricothook_gateway_crash_tests.cpp
@@ -1,4 +1,4 @@
-#include <apricothook_gateway_bench.hpp>
+#include <apricothook_gateway_fixture.hpp>
 
 #include <doctest/doctest.h>
 
@@ -29,9 +29,9 @@
     std::set<Fingerprint> quarantined;
 };
 
-struct CrashBench : GatewayBench
+struct CrashFixture : GatewayFixture
 {
-    explicit CrashBench(std::size_t targets = 1) : GatewayBench(targets)
+    explicit CrashFixture(std::size_t targets = 1) : GatewayFixture(targets)
     {
         gateway.setSuspectGuard(guard);
     }
@@ -43,16 +43,16 @@
 
 TEST_CASE("all requests that are lost in a crash are reported together")
 {
-    CrashBench bench;
-    HeldConnection &first = bench.connect();
-    first.socket.send(GatewayBench::request("once", "a", "one"));
-    HeldConnection &second = bench.connect();
-    second.socket.send(GatewayBench::request("once", "b", "two"));
+    CrashFixture bench;
+    RecordingConnection &first = bench.connect();
+    first.socket.send(GatewayFixture::request("once", "a", "one"));
+    RecordingConnection &second = bench.connect();
+    second.socket.send(GatewayFixture::request("once", "b", "two"));
     REQUIRE(bench.until([&] { return bench.target(0).requests() == 2; }));
     bench.target(0).crash();
     REQUIRE(bench.until([&] { return first.has("\r\n\r\n") && second.has("\r\n\r\n"); }));
-    bench.settle();
-    bench.clock.advance(CrashWatch::ProbeTime);
+    bench.runPendingEvents();
+    bench.clock.advance(CrashDetector::ProbeTime);
     REQUIRE(bench.until([&] { return !bench.guard.crashes.empty(); }));
     REQUIRE(bench.guard.crashes.size() == 1);
     CHECK(bench.guard.crashes[0].first == TargetId("t0"));
@@ -62,39 +62,39 @@
 
 TEST_CASE("a target that drops a connection but accepts new ones is not reported as crashed")
 {
-    CrashBench bench;
-    HeldConnection &caller = bench.connect();
-    caller.socket.send(GatewayBench::request("once", "a"));
-    ScriptedTarget *target = bench.targetWith();
+    CrashFixture bench;
+    RecordingConnection &caller = bench.connect();
+    caller.socket.send(GatewayFixture::request("once", "a"));
+    ScriptedTarget *target = bench.waitForTarget();
     REQUIRE(target);
     target->connection(0).socket.abort();
     REQUIRE(bench.until([&] { return caller.has("\r\n\r\n"); }));
-    bench.settle();
-    bench.clock.advance(CrashWatch::ProbeTime);
-    bench.settle();
+    bench.runPendingEvents();
+    bench.clock.advance(CrashDetector::ProbeTime);
+    bench.runPendingEvents();
     CHECK(bench.guard.crashes.empty());
 }
 
 TEST_CASE("a quarantined request is rejected as not run, with a Retry-After")
 {
-    CrashBench bench;
-    HeldConnection &caller = bench.connect();
-    caller.socket.send(GatewayBench::request("idempotent", "a", "poison"));
-    ScriptedTarget *target = bench.targetWith();
+    CrashFixture bench;
+    RecordingConnection &caller = bench.connect();
+    caller.socket.send(GatewayFixture::request("idempotent", "a", "poison"));
+    ScriptedTarget *target = bench.waitForTarget();
     REQUIRE(target);
-    target->connection(0).socket.send(wholeAnswer("a", "fine"));
+    target->connection(0).socket.send(signedResponse("a", "fine"));
     REQUIRE(bench.until([&] { return caller.has("fine"); }));
     REQUIRE(bench.guard.answered.size() == 1);
     // The same request with another id has the same fingerprint.
     bench.guard.quarantined.insert(bench.guard.answered.front());
-    HeldConnection &again = bench.connect();
-    again.socket.send(GatewayBench::request("idempotent", "b", "poison"));
+    RecordingConnection &again = bench.connect();
+    again.socket.send(GatewayFixture::request("idempotent", "b", "poison"));
     REQUIRE(bench.until([&] { return again.has("\r\n\r\n"); }));
     CHECK(again.has("HTTP/1.1 503 "));
     CHECK(again.has("Retry-After: "));
     CHECK(bench.target(0).requests() == 1);
     // A different body gives a different fingerprint.
-    HeldConnection &other = bench.connect();
-    other.socket.send(GatewayBench::request("idempotent", "c", "harmless"));
+    RecordingConnection &other = bench.connect();
+    other.socket.send(GatewayFixture::request("idempotent", "c", "harmless"));
     CHECK(bench.until([&] { return bench.target(0).requests() == 2; }));
 }
--- a/packages/gateway/tests/apricothook_gateway_bench.cpp
+++ b/packages/gateway/tests/apricothook_gateway_fixture.cpp
@@ -1,4 +1,4 @@
-#include <apricothook_gateway_bench.hpp>
+#include <apricothook_gateway_fixture.hpp>
 
 #include <algorithm>
 
@@ -6,8 +6,8 @@
 
 namespace {
 
-constexpr int MostRounds = 3000;
-constexpr int QuietRounds = 30;
+constexpr int MaxIterations = 3000;
+constexpr int SettleIterations = 30;
 
 RouteRule route(const std::string &name)
 {
@@ -32,12 +32,12 @@
 
 } // namespace
 
-std::size_t EventNumbers::count(GatewayEvent event) const
+std::size_t RecordingLog::count(GatewayEvent event) const
 {
     return static_cast<std::size_t>(std::ranges::count(numbers, static_cast<int>(event)));
 }
 
-GatewayBench::GatewayBench(std::size_t count)
+GatewayFixture::GatewayFixture(std::size_t count)
     : bounds(testBounds())
     , gateway(loop, dialect, random, log, metrics, bounds, DataCentreId("here"))
 {
@@ -57,7 +57,7 @@
     }
 }
 
-ServingConfiguration GatewayBench::configuration()
+ServingConfiguration GatewayFixture::configuration()
 {
     ServingConfiguration configuration;
     configuration.generation = Generation(1);
@@ -76,9 +76,9 @@
     return configuration;
 }
 
-bool GatewayBench::until(const std::function<bool()> &done)
+bool GatewayFixture::until(const std::function<bool()> &done)
 {
-    for (int round = 0; round < MostRounds; ++round) {
+    for (int round = 0; round < MaxIterations; ++round) {
         if (done())
             return true;
         loop.runOnce(std::chrono::milliseconds(1));
@@ -86,21 +86,21 @@
     return done();
 }
 
-void GatewayBench::settle()
+void GatewayFixture::runPendingEvents()
 {
-    for (int round = 0; round < QuietRounds; ++round)
+    for (int round = 0; round < SettleIterations; ++round)
         loop.runOnce(std::chrono::milliseconds(1));
 }
 
-HeldConnection &GatewayBench::connect()
+RecordingConnection &GatewayFixture::connect()
 {
     callers.push_back(
-        std::make_unique<HeldConnection>(loop, Endpoint {"127.0.0.1", gateway.port()}));
+        std::make_unique<RecordingConnection>(loop, Endpoint {"127.0.0.1", gateway.port()}));
     return *callers.back();
 }
 
-std::string GatewayBench::request(const std::string &route, const std::string &id,
-                                  const std::string &body)
+std::string GatewayFixture::request(const std::string &route, const std::string &id,
+                                    const std::string &body)
 {
     const std::string head = (body.empty() ? "GET /" : "POST /") + route
         + "/x HTTP/1.1\r\nHost: host\r\nId: " + id + "\r\n";
@@ -109,7 +109,7 @@
     return head + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-ScriptedTarget *GatewayBench::targetWith(std::size_t count)
+ScriptedTarget *GatewayFixture::waitForTarget(std::size_t count)
 {
     ScriptedTarget *found = nullptr;
     until([&] {
@@ -122,7 +122,7 @@
     return found;
 }
 
-std::string wholeAnswer(const std::string &id, const std::string &body)
+std::string signedResponse(const std::string &id, const std::string &body)
 {
     return "HTTP/1.1 200 OK\r\nId: " + id
         + "\r\nSigned: yes\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
--- a/packages/gateway/tests/apricothook_gateway_limit_tests.cpp
+++ b/packages/gateway/tests/apricothook_gateway_limit_tests.cpp
@@ -1,4 +1,4 @@
-#include <apricothook_gateway_bench.hpp>
+#include <apricothook_gateway_fixture.hpp>
 
 #include <doctest/doctest.h>
 
@@ -9,7 +9,7 @@
 namespace {
 
 /** Records the requests for units that the daemon sends to other daemons. */
-class HeldMessages : public LimitMessenger
+class RecordingMessenger : public LimitMessenger
 {
 public:
     void send(const Endpoint &to, const LimitMessage &message) override
@@ -22,9 +22,9 @@
 };
 
 /** A gateway with a customer whose grantor is another daemon. */
-struct LimitBench : GatewayBench
+struct LimitFixture : GatewayFixture
 {
-    LimitBench()
+    LimitFixture()
     {
         ServingConfiguration limited = configuration();
         limited.generation = Generation(2);
@@ -42,9 +42,9 @@
                                    .startedTogether = std::nullopt},
                                   clock.now());
     }
-    HeldConnection &send(const std::string &id)
+    RecordingConnection &send(const std::string &id)
     {
-        HeldConnection &caller = connect();
+        RecordingConnection &caller = connect();
         caller.socket.send("GET /once/x HTTP/1.1\r\nHost: host\r\nKey: secret\r\nId: " + id
                            + "\r\n\r\n");
         return caller;
@@ -65,27 +65,27 @@
     }
 
     const LimitPeer Grantor {7, {"10.0.0.7", 1}};
-    HeldMessages messages;
+    RecordingMessenger messages;
 };
 
 } // namespace
 
 TEST_CASE("a request runs only after the customer's grantor has granted units")
 {
-    LimitBench bench;
+    LimitFixture bench;
     bench.send("a");
     REQUIRE(bench.until([&] { return !bench.messages.asks.empty(); }));
     CHECK(bench.messages.asks.front().first == bench.Grantor.address);
     CHECK(bench.messages.asks.front().second.units == 1);
     CHECK(bench.target(0).requests() == 0);
     REQUIRE(bench.answer(UnitsOutcome::Granted));
-    CHECK(bench.targetWith());
+    CHECK(bench.waitForTarget());
 }
 
 TEST_CASE("a caller over its customer's limit gets 429 with the grantor's Retry-After")
 {
-    LimitBench bench;
-    HeldConnection &caller = bench.send("a");
+    LimitFixture bench;
+    RecordingConnection &caller = bench.send("a");
     REQUIRE(bench.answer(UnitsOutcome::Refused));
     REQUIRE(bench.until([&] { return caller.has("HTTP/1.1 429 "); }));
     CHECK(caller.has("Retry-After: 700000\r\n"));
@@ -97,14 +97,14 @@
     // The grantor is dead. Without an overshoot the daemon has no credit to admit requests on its
     // own, and a request without units must not run. Whether the customer is over its limit is
     // unknown, so the response is 503 (not run).
-    LimitBench bench;
+    LimitFixture bench;
     for (int id = 0; id < 40; ++id)
         bench.send("a" + std::to_string(id));
-    HeldConnection &last = bench.send("last");
-    bench.settle();
+    RecordingConnection &last = bench.send("last");
+    bench.runPendingEvents();
     for (int round = 0; round < 8; ++round) {
         bench.clock.advance(CustomerRateLimiter::AnswerTime);
-        bench.settle();
+        bench.runPendingEvents();
     }
     REQUIRE(bench.until([&] { return last.has("HTTP/1.1 "); }));
     CHECK(last.has("HTTP/1.1 503 "));
@@ -115,16 +115,16 @@
 TEST_CASE("a caller that disconnects while its request waits for units leaves no state behind")
 {
     // The units are granted after the disconnect. Nothing may run, and the next request is served.
-    LimitBench bench;
-    HeldConnection &caller = bench.send("a");
+    LimitFixture bench;
+    RecordingConnection &caller = bench.send("a");
     REQUIRE(bench.until([&] { return !bench.messages.asks.empty(); }));
     caller.socket.abort();
     REQUIRE(bench.until([&] { return bench.gateway.openRequests() == 0; }));
     REQUIRE(bench.answer(UnitsOutcome::Granted));
-    bench.settle();
+    bench.runPendingEvents();
     CHECK(bench.target(0).requests() == 0);
     bench.messages.asks.clear();
     bench.send("b");
     REQUIRE(bench.answer(UnitsOutcome::Granted));
-    CHECK(bench.targetWith());
+    CHECK(bench.waitForTarget());
 }
--- a/packages/gateway/tests/apricothook_gateway_plain_tests.cpp
+++ b/packages/gateway/tests/apricothook_gateway_plain_tests.cpp
@@ -1,4 +1,4 @@
-#include <apricothook_gateway_bench.hpp>
+#include <apricothook_gateway_fixture.hpp>
 
 #include <doctest/doctest.h>
 
@@ -6,15 +6,15 @@
 
 TEST_CASE("a response that is not a stream is forwarded unchanged")
 {
-    GatewayBench bench;
-    HeldConnection &caller = bench.connect();
-    caller.socket.send(GatewayBench::request("once", "a", "ticket"));
-    ScriptedTarget *target = bench.targetWith();
+    GatewayFixture bench;
+    RecordingConnection &caller = bench.connect();
+    caller.socket.send(GatewayFixture::request("once", "a", "ticket"));
+    ScriptedTarget *target = bench.waitForTarget();
     REQUIRE(target);
     CHECK(target->connection(0).has("POST /once/x HTTP/1.1\r\n"));
     CHECK(target->connection(0).has("Only: t0\r\n"));
     CHECK(target->connection(0).received.ends_with("\r\n\r\nticket"));
-    target->connection(0).socket.send(wholeAnswer("a", "filed"));
+    target->connection(0).socket.send(signedResponse("a", "filed"));
     REQUIRE(bench.until([&] { return caller.has("filed"); }));
     CHECK(caller.has("HTTP/1.1 200 OK\r\n"));
     CHECK(caller.has("Signed: yes\r\n"));
@@ -22,13 +22,13 @@
 
 TEST_CASE("connections to callers and targets are reused for consecutive requests")
 {
-    GatewayBench bench;
-    HeldConnection &caller = bench.connect();
+    GatewayFixture bench;
+    RecordingConnection &caller = bench.connect();
     for (const std::string id : {"a", "b", "c"}) {
         const std::size_t before = bench.target(0).requests();
-        caller.socket.send(GatewayBench::request("once", id));
+        caller.socket.send(GatewayFixture::request("once", id));
         REQUIRE(bench.until([&] { return bench.target(0).requests() == before + 1; }));
-        bench.target(0).connection(0).socket.send(wholeAnswer(id, "answer-" + id));
+        bench.target(0).connection(0).socket.send(signedResponse(id, "answer-" + id));
         REQUIRE(bench.until([&] { return caller.has("answer-" + id); }));
     }
     CHECK(bench.target(0).connections.size() == 1);
@@ -40,13 +40,13 @@
     // so the caller gets 502: the request may have run.
     for (const bool orderly : {true, false}) {
         CAPTURE(orderly);
-        GatewayBench bench;
-        HeldConnection &caller = bench.connect();
-        caller.socket.send(GatewayBench::request("once", "a"));
-        ScriptedTarget *target = bench.targetWith();
+        GatewayFixture bench;
+        RecordingConnection &caller = bench.connect();
+        caller.socket.send(GatewayFixture::request("once", "a"));
+        ScriptedTarget *target = bench.waitForTarget();
         REQUIRE(target);
         target->connection(0).socket.send("HTTP/1.1 200 OK\r\nId: a\r\nSigned: yes\r\n\r\npart");
-        bench.settle();
+        bench.runPendingEvents();
         if (orderly)
             target->connection(0).socket.close();
         else
@@ -61,20 +61,20 @@
 {
     // The target responds to the first request twice. The duplicate arrives when the response to
     // the second request is due; it is recognized by its id and discarded.
-    GatewayBench bench;
-    HeldConnection &caller = bench.connect();
-    caller.socket.send(GatewayBench::request("once", "a"));
-    ScriptedTarget *target = bench.targetWith();
+    GatewayFixture bench;
+    RecordingConnection &caller = bench.connect();
+    caller.socket.send(GatewayFixture::request("once", "a"));
+    ScriptedTarget *target = bench.waitForTarget();
     REQUIRE(target);
-    target->connection(0).socket.send(wholeAnswer("a", "first"));
+    target->connection(0).socket.send(signedResponse("a", "first"));
     REQUIRE(bench.until([&] { return caller.has("first"); }));
-    caller.socket.send(GatewayBench::request("once", "b"));
+    caller.socket.send(GatewayFixture::request("once", "b"));
     REQUIRE(bench.until([&] { return target->requests() == 2; }));
-    HeldConnection &run = *target->connections.back();
-    run.socket.send(wholeAnswer("a", "stray"));
-    bench.settle();
+    RecordingConnection &run = *target->connections.back();
+    run.socket.send(signedResponse("a", "stray"));
+    bench.runPendingEvents();
     CHECK_FALSE(caller.has("stray"));
-    run.socket.send(wholeAnswer("b", "second"));
+    run.socket.send(signedResponse("b", "second"));
     CHECK(bench.until([&] { return caller.has("second"); }));
     CHECK(bench.log.count(GatewayEvent::AnswerDiscarded) == 1);
 }
@@ -83,12 +83,12 @@
 {
     // The target sends a second response directly after the first. Only the first is forwarded, and
     // the channel is closed so that the second can't be taken for the next response.
-    GatewayBench bench;
-    HeldConnection &caller = bench.connect();
-    caller.socket.send(GatewayBench::request("once", "a"));
-    ScriptedTarget *target = bench.targetWith();
+    GatewayFixture bench;
+    RecordingConnection &caller = bench.connect();
+    caller.socket.send(GatewayFixture::request("once", "a"));
+    ScriptedTarget *target = bench.waitForTarget();
     REQUIRE(target);
-    target->connection(0).socket.send(wholeAnswer("a", "first") + wholeAnswer("a", "again"));
+    target->connection(0).socket.send(signedResponse("a", "first") + signedResponse("a", "again"));
     REQUIRE(bench.until([&] { return caller.has("first"); }));
     CHECK(bench.until([&] { return target->connection(0).end.has_value(); }));
     CHECK_FALSE(caller.has("again"));
@@ -98,22 +98,22 @@
 {
     // The early response is forwarded. The target would read the next request on this channel as
     // the rest of the body, so the channel must not be reused.
-    GatewayBench bench;
+    GatewayFixture bench;
     bench.gateway.setConfiguration([] {
-        ServingConfiguration configuration = GatewayBench::configuration();
+        ServingConfiguration configuration = GatewayFixture::configuration();
         configuration.limits.bodyBytes = 64 << 20;
         return std::make_shared<const RouteTable>(configuration);
     }());
-    HeldConnection &caller = bench.connect();
-    bench.settle();
+    RecordingConnection &caller = bench.connect();
+    bench.runPendingEvents();
     bench.target(0).connections.clear();
-    caller.socket.send(GatewayBench::request("once", "a", std::string(32 << 20, 'x')));
+    caller.socket.send(GatewayFixture::request("once", "a", std::string(32 << 20, 'x')));
     REQUIRE(bench.until([&] { return bench.target(0).connections.size() == 1; }));
-    HeldConnection &run = bench.target(0).connection(0);
+    RecordingConnection &run = bench.target(0).connection(0);
     run.socket.setReading(false);
-    run.socket.send(wholeAnswer("a", "early"));
+    run.socket.send(signedResponse("a", "early"));
     REQUIRE(bench.until([&] { return caller.has("early"); }));
-    caller.socket.send(GatewayBench::request("once", "b"));
+    caller.socket.send(GatewayFixture::request("once", "b"));
     REQUIRE(bench.until([&] { return bench.target(0).connections.size() == 2; }));
     CHECK(bench.until([&] { return bench.target(0).connection(1).has("Id: b\r\n"); }));
 }
@@ -122,10 +122,10 @@
 {
     // The target reads the complete request and resets the connection. It is unknown whether the
     // request ran, so the caller gets 502.
-    GatewayBench bench(2);
-    HeldConnection &caller = bench.connect();
-    caller.socket.send(GatewayBench::request("once", "a"));
-    ScriptedTarget *target = bench.targetWith();
+    GatewayFixture bench(2);
+    RecordingConnection &caller = bench.connect();
+    caller.socket.send(GatewayFixture::request("once", "a"));
+    ScriptedTarget *target = bench.waitForTarget();
     REQUIRE(target);
     target->connection(0).socket.abort();
     REQUIRE(bench.until([&] { return caller.has("\r\n\r\n"); }));
@@ -135,15 +135,15 @@
 
 TEST_CASE("an idempotent request is retried on another target after a reset")
 {
-    GatewayBench bench(2);
-    HeldConnection &caller = bench.connect();
-    caller.socket.send(GatewayBench::request("idempotent", "a"));
-    ScriptedTarget *first = bench.targetWith();
+    GatewayFixture bench(2);
+    RecordingConnection &caller = bench.connect();
+    caller.socket.send(GatewayFixture::request("idempotent", "a"));
+    ScriptedTarget *first = bench.waitForTarget();
     REQUIRE(first);
     ScriptedTarget &second = bench.target(first == &bench.target(0) ? 1 : 0);
     first->connection(0).socket.abort();
     REQUIRE(bench.until([&] { return second.requests() == 1; }));
-    second.connection(0).socket.send(wholeAnswer("a", "tile"));
+    second.connection(0).socket.send(signedResponse("a", "tile"));
     CHECK(bench.until([&] { return caller.has("tile"); }));
 }
 
@@ -151,12 +151,12 @@
 {
     // Both targets state that they had no free slot and didn't run the request, so even a request
     // that is not idempotent is sent to the second one. The caller gets 503 with a Retry-After.
-    GatewayBench bench(2);
-    HeldConnection &caller = bench.connect();
-    caller.socket.send(GatewayBench::request("once", "a"));
+    GatewayFixture bench(2);
+    RecordingConnection &caller = bench.connect();
+    caller.socket.send(GatewayFixture::request("once", "a"));
     const std::string full
         = "HTTP/1.1 503 Full\r\nId: a\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n";
-    ScriptedTarget *first = bench.targetWith();
+    ScriptedTarget *first = bench.waitForTarget();
     REQUIRE(first);
     ScriptedTarget &second = bench.target(first == &bench.target(0) ? 1 : 0);
     first->connection(0).socket.send(full);
@@ -171,15 +171,15 @@
 {
     // The first target has ended and another service reuses its address. That service responds with
     // 421 and doesn't run the request, so the request is sent to the other target.
-    GatewayBench bench(2);
-    HeldConnection &caller = bench.connect();
-    caller.socket.send(GatewayBench::request("once", "a"));
-    ScriptedTarget *first = bench.targetWith();
+    GatewayFixture bench(2);
+    RecordingConnection &caller = bench.connect();
+    caller.socket.send(GatewayFixture::request("once", "a"));
+    ScriptedTarget *first = bench.waitForTarget();
     REQUIRE(first);
     ScriptedTarget &second = bench.target(first == &bench.target(0) ? 1 : 0);
     first->connection(0).socket.send("HTTP/1.1 421 Other\r\nContent-Length: 0\r\n\r\n");
     REQUIRE(bench.until([&] { return second.requests() == 1; }));
-    second.connection(0).socket.send(wholeAnswer("a", "right"));
+    second.connection(0).socket.send(signedResponse("a", "right"));
     CHECK(bench.until([&] { return caller.has("right"); }));
 }
 
@@ -187,10 +187,10 @@
 {
     // A 200 without the target's signature may come from another process at the address. The caller
     // gets 502: the request may have run.
-    GatewayBench bench;
-    HeldConnection &caller = bench.connect();
-    caller.socket.send(GatewayBench::request("once", "a"));
-    ScriptedTarget *target = bench.targetWith();
+    GatewayFixture bench;
+    RecordingConnection &caller = bench.connect();
+    caller.socket.send(GatewayFixture::request("once", "a"));
+    ScriptedTarget *target = bench.waitForTarget();
     REQUIRE(target);
     target->connection(0).socket.send("HTTP/1.1 200 OK\r\nId: a\r\nContent-Length: 4\r\n\r\nfake");
     REQUIRE(bench.until([&] { return caller.has("\r\n\r\n"); }));
@@ -200,10 +200,10 @@
 
 TEST_CASE("a malformed response fails the request")
 {
-    GatewayBench bench;
-    HeldConnection &caller = bench.connect();
-    caller.socket.send(GatewayBench::request("once", "a"));
-    ScriptedTarget *target = bench.targetWith();
+    GatewayFixture bench;
+    RecordingConnection &caller = bench.connect();
+    caller.socket.send(GatewayFixture::request("once", "a"));
+    ScriptedTarget *target = bench.waitForTarget();
     REQUIRE(target);
     target->connection(0).socket.send("\x01\x02 nonsense\r\n\r\n");
     REQUIRE(bench.until([&] { return caller.has("\r\n\r\n"); }));
@@ -214,10 +214,10 @@
 {
     // The target reads the request and doesn't respond. The request must not be retried; the caller
     // gets 504 at the timeout: the request may have run.
-    GatewayBench bench(2);
-    HeldConnection &caller = bench.connect();
-    caller.socket.send(GatewayBench::request("once", "a"));
-    ScriptedTarget *target = bench.targetWith();
+    GatewayFixture bench(2);
+    RecordingConnection &caller = bench.connect();
+    caller.socket.send(GatewayFixture::request("once", "a"));
+    ScriptedTarget *target = bench.waitForTarget();
     REQUIRE(target);
     bench.clock.advance(std::chrono::milliseconds(10'100));
     REQUIRE(bench.until([&] { return caller.has("\r\n\r\n"); }));
@@ -230,15 +230,15 @@
 {
     // The first target reads the request and sends nothing, without a reset. The caller gets the
     // response of the second target.
-    GatewayBench bench(2);
-    HeldConnection &caller = bench.connect();
-    caller.socket.send(GatewayBench::request("idempotent", "a"));
-    ScriptedTarget *first = bench.targetWith();
+    GatewayFixture bench(2);
+    RecordingConnection &caller = bench.connect();
+    caller.socket.send(GatewayFixture::request("idempotent", "a"));
+    ScriptedTarget *first = bench.waitForTarget();
     REQUIRE(first);
     ScriptedTarget &second = bench.target(first == &bench.target(0) ? 1 : 0);
     bench.clock.advance(std::chrono::seconds(2));
     REQUIRE(bench.until([&] { return second.requests() == 1; }));
-    second.connection(0).socket.send(wholeAnswer("a", "tile"));
+    second.connection(0).socket.send(signedResponse("a", "tile"));
     CHECK(bench.until([&] { return caller.has("tile"); }));
     CHECK(first->connection(0).end.has_value());
 }
--- a/packages/gateway/tests/apricothook_gateway_stream_tests.cpp
+++ b/packages/gateway/tests/apricothook_gateway_stream_tests.cpp
@@ -1,4 +1,4 @@
-#include <apricothook_gateway_bench.hpp>
+#include <apricothook_gateway_fixture.hpp>
 
 #include <doctest/doctest.h>
 
@@ -8,7 +8,7 @@
 
 constexpr std::string_view End = "\r\n0\r\n\r\n";
 
-bool endsWhole(const HeldConnection &caller)
+bool endsComplete(const RecordingConnection &caller)
 {
     return caller.received.ends_with(End);
 }
@@ -17,18 +17,18 @@
 
 TEST_CASE("a stream is forwarded event by event")
 {
-    GatewayBench bench;
-    HeldConnection &caller = bench.connect();
-    caller.socket.send(GatewayBench::request("stream", "a"));
-    ScriptedTarget *target = bench.targetWith();
+    GatewayFixture bench;
+    RecordingConnection &caller = bench.connect();
+    caller.socket.send(GatewayFixture::request("stream", "a"));
+    ScriptedTarget *target = bench.waitForTarget();
     REQUIRE(target);
-    HeldConnection &run = target->connection(0);
+    RecordingConnection &run = target->connection(0);
 
     run.socket.send(streamHead("a") + eventChunk(1));
     CHECK(bench.until([&] { return caller.has("id: 1\n"); }));
-    CHECK_FALSE(endsWhole(caller));
+    CHECK_FALSE(endsComplete(caller));
     run.socket.send(eventChunk(2) + std::string(LastChunk));
-    CHECK(bench.until([&] { return endsWhole(caller); }));
+    CHECK(bench.until([&] { return endsComplete(caller); }));
     CHECK(caller.has("id: 2\n"));
     CHECK(bench.log.count(GatewayEvent::RequestAnswered) == 1);
 }
@@ -37,10 +37,10 @@
 {
     // The first target sends one and a half events and resets the connection. The second is asked
     // to resume after the last complete event, so the caller receives each event once.
-    GatewayBench bench(2);
-    HeldConnection &caller = bench.connect();
-    caller.socket.send(GatewayBench::request("resumable", "a"));
-    ScriptedTarget *first = bench.targetWith();
+    GatewayFixture bench(2);
+    RecordingConnection &caller = bench.connect();
+    caller.socket.send(GatewayFixture::request("resumable", "a"));
+    ScriptedTarget *first = bench.waitForTarget();
     REQUIRE(first);
     ScriptedTarget &second = bench.target(first == &bench.target(0) ? 1 : 0);
 
@@ -50,7 +50,7 @@
     REQUIRE(bench.until([&] { return second.requests() == 1; }));
     CHECK(second.connection(0).has("Last: 1\r\n"));
     second.connection(0).socket.send(streamHead("a") + eventChunk(2) + std::string(LastChunk));
-    REQUIRE(bench.until([&] { return endsWhole(caller); }));
+    REQUIRE(bench.until([&] { return endsComplete(caller); }));
     CHECK(caller.received.find("id: 2\n") == caller.received.rfind("id: 2\n"));
 }
 
@@ -59,10 +59,10 @@
     // The first target resets the connection after an event, and the one that should resume the
     // stream responds with an error. The error's body must not be appended to the stream, and the
     // caller's connection must end without the last chunk.
-    GatewayBench bench(2);
-    HeldConnection &caller = bench.connect();
-    caller.socket.send(GatewayBench::request("resumable", "a"));
-    ScriptedTarget *first = bench.targetWith();
+    GatewayFixture bench(2);
+    RecordingConnection &caller = bench.connect();
+    caller.socket.send(GatewayFixture::request("resumable", "a"));
+    ScriptedTarget *first = bench.waitForTarget();
     REQUIRE(first);
     ScriptedTarget &second = bench.target(first == &bench.target(0) ? 1 : 0);
 
@@ -73,7 +73,7 @@
     second.connection(0).socket.send(
         "HTTP/1.1 500 Oops\r\nId: a\r\nSigned: yes\r\nContent-Length: 4\r\n\r\nfail");
     REQUIRE(bench.until([&] { return caller.end.has_value(); }));
-    CHECK_FALSE(endsWhole(caller));
+    CHECK_FALSE(endsComplete(caller));
     CHECK_FALSE(caller.has("fail"));
     CHECK(bench.log.count(GatewayEvent::RequestFailed) == 1);
 }
@@ -82,16 +82,16 @@
 {
     // The request has run and must not run again, so there is no retry. The caller's connection
     // ends without the last chunk.
-    GatewayBench bench(2);
-    HeldConnection &caller = bench.connect();
-    caller.socket.send(GatewayBench::request("stream", "a"));
-    ScriptedTarget *target = bench.targetWith();
+    GatewayFixture bench(2);
+    RecordingConnection &caller = bench.connect();
+    caller.socket.send(GatewayFixture::request("stream", "a"));
+    ScriptedTarget *target = bench.waitForTarget();
     REQUIRE(target);
     target->connection(0).socket.send(streamHead("a") + eventChunk(1));
     REQUIRE(bench.until([&] { return caller.has("id: 1\n"); }));
     target->connection(0).socket.abort();
     REQUIRE(bench.until([&] { return caller.end.has_value(); }));
-    CHECK_FALSE(endsWhole(caller));
+    CHECK_FALSE(endsComplete(caller));
     CHECK(bench.target(0).requests() + bench.target(1).requests() == 1);
 }
 
@@ -99,10 +99,10 @@
 {
     // The first target's connection stays open but sends nothing more. After the stall timeout the
     // first attempt is cancelled and another target resumes the stream.
-    GatewayBench bench(2);
-    HeldConnection &caller = bench.connect();
-    caller.socket.send(GatewayBench::request("resumable", "a"));
-    ScriptedTarget *first = bench.targetWith();
+    GatewayFixture bench(2);
+    RecordingConnection &caller = bench.connect();
+    caller.socket.send(GatewayFixture::request("resumable", "a"));
+    ScriptedTarget *first = bench.waitForTarget();
     REQUIRE(first);
     ScriptedTarget &second = bench.target(first == &bench.target(0) ? 1 : 0);
     first->connection(0).socket.send(streamHead("a") + eventChunk(1));
@@ -112,17 +112,17 @@
     REQUIRE(bench.until([&] { return second.requests() == 1; }));
     CHECK(bench.until([&] { return first->connection(0).end.has_value(); }));
     second.connection(0).socket.send(streamHead("a") + eventChunk(2) + std::string(LastChunk));
-    CHECK(bench.until([&] { return endsWhole(caller); }));
+    CHECK(bench.until([&] { return endsComplete(caller); }));
 }
 
 TEST_CASE("a request is cancelled at its target when the caller disconnects")
 {
     // The caller disconnects before the target has sent anything. The connection to the target is
     // closed at once, so that the target stops working on the request.
-    GatewayBench bench;
-    HeldConnection &caller = bench.connect();
-    caller.socket.send(GatewayBench::request("stream", "a"));
-    ScriptedTarget *target = bench.targetWith();
+    GatewayFixture bench;
+    RecordingConnection &caller = bench.connect();
+    caller.socket.send(GatewayFixture::request("stream", "a"));
+    ScriptedTarget *target = bench.waitForTarget();
     REQUIRE(target);
     caller.socket.abort();
     CHECK(bench.until([&] { return target->connection(0).end.has_value(); }));
@@ -135,13 +135,13 @@
     // check the callers would wait for their deadline. The new instance is known from the target's
     // entry. A stream that must not run twice fails with 502; an idempotent request is sent to the
     // new instance.
-    GatewayBench bench;
-    HeldConnection &once = bench.connect();
-    once.socket.send(GatewayBench::request("stream", "a"));
-    REQUIRE(bench.targetWith());
-    HeldConnection &repeatable = bench.connect();
-    repeatable.socket.send(GatewayBench::request("idempotent", "b"));
-    ScriptedTarget *target = bench.targetWith(2);
+    GatewayFixture bench;
+    RecordingConnection &once = bench.connect();
+    once.socket.send(GatewayFixture::request("stream", "a"));
+    REQUIRE(bench.waitForTarget());
+    RecordingConnection &repeatable = bench.connect();
+    repeatable.socket.send(GatewayFixture::request("idempotent", "b"));
+    ScriptedTarget *target = bench.waitForTarget(2);
     REQUIRE(target);
 
     TargetEntry entry = bench.gateway.targets().find(TargetId("t0"))->entry;
@@ -149,9 +149,9 @@
     bench.gateway.putTarget(entry);
     CHECK(bench.until([&] { return once.has("HTTP/1.1 502"); }));
     REQUIRE(bench.until([&] { return target->requests() == 3; }));
-    HeldConnection &fresh = *target->connections.back();
+    RecordingConnection &fresh = *target->connections.back();
     CHECK(fresh.has("Id: b\r\n"));
-    fresh.socket.send(wholeAnswer("b", "whole"));
+    fresh.socket.send(signedResponse("b", "whole"));
     CHECK(bench.until([&] { return repeatable.has("whole"); }));
     CHECK(bench.gateway.targets().find(TargetId("t0"))->failuresInRow == 0);
 }
--- a/packages/gateway/tests/apricothook_scripted_peers.cpp
+++ b/packages/gateway/tests/apricothook_scripted_peers.cpp
@@ -5,14 +5,14 @@
 ScriptedTarget::ScriptedTarget(EventLoop &loop)
 {
     m_listener = Listener::open(loop, {"127.0.0.1", 0}, [this, &loop](int descriptor) {
-                     connections.push_back(std::make_unique<HeldConnection>(loop, descriptor));
+                     connections.push_back(std::make_unique<RecordingConnection>(loop, descriptor));
                  }).value();
 }
 
 std::size_t ScriptedTarget::requests() const
 {
     std::size_t count = 0;
-    for (const std::unique_ptr<HeldConnection> &connection : connections) {
+    for (const std::unique_ptr<RecordingConnection> &connection : connections) {
         std::string_view bytes = connection->received;
         while (!bytes.empty()) {
             RequestReader reader({});
@@ -29,7 +29,7 @@
 void ScriptedTarget::crash()
 {
     m_listener.reset();
-    for (const std::unique_ptr<HeldConnection> &connection : connections)
+    for (const std::unique_ptr<RecordingConnection> &connection : connections)
         connection->socket.abort();
 }
 
--- a/packages/gateway/tests/apricothook_scripted_peers.hpp
+++ b/packages/gateway/tests/apricothook_scripted_peers.hpp
@@ -12,11 +12,11 @@
 namespace Apricothook {
 
 /** The test's end of a connection: records the received bytes and how the connection ended. */
-class HeldConnection : public StreamSocketEvents
+class RecordingConnection : public StreamSocketEvents
 {
 public:
-    HeldConnection(EventLoop &loop, int descriptor) : socket(loop, *this, descriptor) { }
-    HeldConnection(EventLoop &loop, const Endpoint &to) : socket(loop, *this, to) { }
+    RecordingConnection(EventLoop &loop, int descriptor) : socket(loop, *this, descriptor) { }
+    RecordingConnection(EventLoop &loop, const Endpoint &to) : socket(loop, *this, to) { }
 
     void onData(std::string_view bytes) override { received.append(bytes); }
     void onEnd(CloseReason how) override { end = how; }
@@ -36,11 +36,11 @@
     Endpoint address() const { return {"127.0.0.1", m_listener->port()}; }
     /** Number of complete requests received on all connections. */
     std::size_t requests() const;
-    HeldConnection &connection(std::size_t index) { return *connections.at(index); }
+    RecordingConnection &connection(std::size_t index) { return *connections.at(index); }
     /** Stops listening and resets all connections. */
     void crash();
 
-    std::vector<std::unique_ptr<HeldConnection>> connections;
+    std::vector<std::unique_ptr<RecordingConnection>> connections;
 
 private:
     std::unique_ptr<Listener> m_listener;
--- a/packages/gateway/tests/apricothook_test_dialect.cpp
+++ b/packages/gateway/tests/apricothook_test_protocol.cpp
@@ -1,4 +1,4 @@
-#include <apricothook_test_dialect.hpp>
+#include <apricothook_test_protocol.hpp>
 
 #include <string>
 
@@ -13,7 +13,7 @@
 
 } // namespace
 
-Result<RequestFields, RequestFieldsError> TestDialect::callerRequest(const RequestHead &head) const
+Result<RequestFields, RequestFieldsError> TestProtocol::callerRequest(const RequestHead &head) const
 {
     RequestFields request;
     request.id = RequestKey(valueOf(head.headers, "Id"));
@@ -27,8 +27,8 @@
     return request;
 }
 
-RequestHead TestDialect::targetRequest(const RequestHead &fromCaller,
-                                       const TargetRequestFields &fields) const
+RequestHead TestProtocol::targetRequest(const RequestHead &fromCaller,
+                                        const TargetRequestFields &fields) const
 {
     RequestHead head = fromCaller;
     head.headers.removeHopByHop();
@@ -40,7 +40,7 @@
     return head;
 }
 
-TargetResponseFields TestDialect::targetResponse(const ResponseHead &head) const
+TargetResponseFields TestProtocol::targetResponse(const ResponseHead &head) const
 {
     TargetResponseFields verdict;
     verdict.requestId = RequestKey(valueOf(head.headers, "Id"));
@@ -50,15 +50,15 @@
     return verdict;
 }
 
-ResponseHead TestDialect::callerResponse(const ResponseHead &fromTarget) const
+ResponseHead TestProtocol::callerResponse(const ResponseHead &fromTarget) const
 {
     ResponseHead head = fromTarget;
     head.headers.removeHopByHop();
     return head;
 }
 
-ResponseHead TestDialect::localResponse(unsigned status, const RequestKey &id,
-                                        std::optional<Duration> retryAfter) const
+ResponseHead TestProtocol::localResponse(unsigned status, const RequestKey &id,
+                                         std::optional<Duration> retryAfter) const
 {
     ResponseHead head;
     head.status = status;
--- a/packages/gateway/tests/apricothook_test_dialect.hpp
+++ b/packages/gateway/tests/apricothook_test_protocol.hpp
@@ -5,7 +5,7 @@
 namespace Apricothook {
 
 /** Test headers: requests have "Id", "Patience" and "Key", responses "Not-Run" and "Signed". */
-class TestDialect : public WireProtocol
+class TestProtocol : public WireProtocol
 {
 public:
     Result<RequestFields, RequestFieldsError> callerRequest(const RequestHead &head) const override;
--- a/packages/http1/apricothook/http1/apricothook_header_list.cpp
+++ b/packages/http1/apricothook/http1/apricothook_header_list.cpp
@@ -44,7 +44,7 @@
     return std::ranges::equal(left, right, {}, lower, lower);
 }
 
-bool listsToken(std::string_view list, std::string_view token)
+bool containsToken(std::string_view list, std::string_view token)
 {
     bool found = false;
     forEachToken(list, [&](std::string_view each) { found |= equalsIgnoringCase(each, token); });
--- a/packages/http1/apricothook/http1/apricothook_header_list.hpp
+++ b/packages/http1/apricothook/http1/apricothook_header_list.hpp
@@ -48,6 +48,6 @@
 bool equalsIgnoringCase(std::string_view left, std::string_view right);
 
 /** True if the comma-separated `list` contains `token`, ignoring case. */
-bool listsToken(std::string_view list, std::string_view token);
+bool containsToken(std::string_view list, std::string_view token);
 
 } // namespace Apricothook
--- a/packages/http1/apricothook/http1/apricothook_message_head.hpp
+++ b/packages/http1/apricothook/http1/apricothook_message_head.hpp
@@ -28,7 +28,7 @@
     HeaderList headers;
     bool isKeepAlive = true;
     /** The body has no length and extends to the end of the connection. */
-    bool endsWithConnection = false;
+    bool bodyEndsAtClose = false;
 
     auto operator<=>(const ResponseHead &) const = default;
 };
--- a/packages/http1/apricothook/http1/apricothook_message_reader.cpp
+++ b/packages/http1/apricothook/http1/apricothook_message_reader.cpp
@@ -1,6 +1,6 @@
 #include <apricothook/http1/apricothook_message_reader.hpp>
 
-#include <apricothook/http1/internal/apricothook_head_collector.hpp>
+#include <apricothook/http1/internal/apricothook_message_parser.hpp>
 
 #include <utility>
 
@@ -11,9 +11,9 @@
 /** Lower status codes are interim (1xx). */
 constexpr unsigned FirstFinalStatus = 200;
 /** Size limit of a response head; larger than for callers, as targets are trusted more. */
-constexpr std::uint32_t LargestAnswerHead = 65536;
+constexpr std::uint32_t LargestResponseHead = 65536;
 
-bool hasUnclearFraming(const HeaderList &headers)
+bool hasAmbiguousFraming(const HeaderList &headers)
 {
     if (headers.count("Host") != 1 || headers.count("Content-Length") > 1)
         return true;
@@ -26,7 +26,7 @@
 
 } // namespace
 
-class RequestParser : public HeadCollector<true, RequestHead>
+class RequestParser : public MessageParser<true, RequestHead>
 {
 public:
     explicit RequestParser(const MessageLimits &limits)
@@ -49,19 +49,19 @@
     void on_header_impl(boost::beast::error_code &error) override
     {
         head.isKeepAlive = keep_alive();
-        if (hasUnclearFraming(head.headers))
+        if (hasAmbiguousFraming(head.headers))
             error = Http::error::bad_field;
     }
 };
 
-class ResponseParser : public HeadCollector<false, ResponseHead>
+class ResponseParser : public MessageParser<false, ResponseHead>
 {
 public:
-    explicit ResponseParser(bool answersHead)
+    explicit ResponseParser(bool isHeadResponse)
     {
         eager(true);
-        skip(answersHead);
-        header_limit(LargestAnswerHead);
+        skip(isHeadResponse);
+        header_limit(LargestResponseHead);
         body_limit(boost::none);
     }
 
@@ -79,7 +79,7 @@
     void on_header_impl(boost::beast::error_code &) override
     {
         head.isKeepAlive = keep_alive();
-        head.endsWithConnection = need_eof();
+        head.bodyEndsAtClose = need_eof();
     }
 };
 
@@ -122,8 +122,8 @@
     return std::exchange(m_parser->body, {});
 }
 
-ResponseReader::ResponseReader(bool answersHead)
-    : m_answersHead(answersHead), m_parser(std::make_unique<ResponseParser>(answersHead))
+ResponseReader::ResponseReader(bool isHeadResponse)
+    : m_isHeadResponse(isHeadResponse), m_parser(std::make_unique<ResponseParser>(isHeadResponse))
 {
 }
 
@@ -141,7 +141,7 @@
         used += taken.value();
         if (!m_parser->is_done() || m_parser->head.status >= FirstFinalStatus)
             return used;
-        m_parser = std::make_unique<ResponseParser>(m_answersHead);
+        m_parser = std::make_unique<ResponseParser>(m_isHeadResponse);
         if (used == bytes.size())
             return used;
     }
--- a/packages/http1/apricothook/http1/apricothook_message_reader.hpp
+++ b/packages/http1/apricothook/http1/apricothook_message_reader.hpp
@@ -59,8 +59,8 @@
 class ResponseReader
 {
 public:
-    /** `answersHead`: the request's method was HEAD, so the response has no body. */
-    explicit ResponseReader(bool answersHead);
+    /** `isHeadResponse`: the request's method was HEAD, so the response has no body. */
+    explicit ResponseReader(bool isHeadResponse);
     ~ResponseReader();
     ResponseReader(ResponseReader &&) noexcept;
     ResponseReader &operator=(ResponseReader &&) noexcept;
@@ -75,7 +75,7 @@
     std::string takeBody();
 
 private:
-    bool m_answersHead;
+    bool m_isHeadResponse;
     std::unique_ptr<ResponseParser> m_parser;
 };
 
--- a/packages/http1/apricothook/http1/internal/apricothook_head_collector.hpp
+++ b/packages/http1/apricothook/http1/internal/apricothook_message_parser.hpp
@@ -15,15 +15,15 @@
  * whole header fields, so unconsumed bytes are buffered and passed to it again with the next ones.
  */
 template <bool IsRequest, typename Head>
-class HeadCollector : public Http::basic_parser<IsRequest>
+class MessageParser : public Http::basic_parser<IsRequest>
 {
 public:
     Result<std::size_t, MessageError> feed(std::string_view bytes)
     {
-        const std::size_t keptBefore = m_kept.size();
-        if (keptBefore > 0)
-            m_kept.append(bytes);
-        std::string_view input = keptBefore > 0 ? std::string_view(m_kept) : bytes;
+        const std::size_t bufferedBefore = m_unconsumed.size();
+        if (bufferedBefore > 0)
+            m_unconsumed.append(bytes);
+        std::string_view input = bufferedBefore > 0 ? std::string_view(m_unconsumed) : bytes;
         const std::size_t whole = input.size();
         boost::beast::error_code error;
         while (!input.empty() && !this->is_done()) {
@@ -36,11 +36,11 @@
                 return errorOf(error);
         }
         if (this->is_done()) {
-            const std::size_t used = whole - input.size() - keptBefore;
-            m_kept.clear();
+            const std::size_t used = whole - input.size() - bufferedBefore;
+            m_unconsumed.clear();
             return used;
         }
-        m_kept = std::string(input);
+        m_unconsumed = std::string(input);
         return bytes.size();
     }
 
@@ -79,7 +79,7 @@
     }
     void on_finish_impl(Code &) override { }
 
-    std::string m_kept;
+    std::string m_unconsumed;
 };
 
 } // namespace Apricothook
--- a/packages/http1/tests/apricothook_message_reader_tests.cpp
+++ b/packages/http1/tests/apricothook_message_reader_tests.cpp
@@ -60,7 +60,7 @@
     CHECK(chunked.finish().error() == MessageError::Truncated);
     ResponseReader unframed(false);
     REQUIRE(unframed.feed("HTTP/1.1 200 OK\r\n\r\nabc"));
-    CHECK(unframed.head().endsWithConnection);
+    CHECK(unframed.head().bodyEndsAtClose);
     CHECK(unframed.finish());
 }
 
@@ -89,8 +89,8 @@
     CHECK(headers.find("kept") == "yes");
     CHECK(headers.count("X-Mine") == 0);
     CHECK(headers.count("Keep-Alive") == 0);
-    CHECK(listsToken("a, Chunked ,b", "chunked"));
-    CHECK_FALSE(listsToken("xchunked", "chunked"));
+    CHECK(containsToken("a, Chunked ,b", "chunked"));
+    CHECK_FALSE(containsToken("xchunked", "chunked"));
 }
 
 TEST_CASE("messages are serialized with the framing of their body")
