--- a/packages/gateway/apricothook/gateway/apricothook_caller_connection.cpp
+++ b/packages/gateway/apricothook/gateway/apricothook_caller_connection.cpp
@@ -199,7 +199,7 @@
 void CallerConnection::respondAndLinger(unsigned status)
 {
     if (status != 0) {
-        ResponseHead head = m_handler.dialect().localResponse(status, RequestKey(), std::nullopt);
+        ResponseHead head = m_handler.protocol().localResponse(status, RequestKey(), std::nullopt);
         head.headers.set("Connection", "close");
         m_socket.send(writeResponseHead(head, {BodyFraming::Kind::Sized, 0}));
     }
--- a/packages/gateway/apricothook/gateway/apricothook_caller_responder.hpp
+++ b/packages/gateway/apricothook/gateway/apricothook_caller_responder.hpp
@@ -38,7 +38,7 @@
     RequestHead head;
     std::string body;
     /** When the first byte was read. */
-    Instant begun {};
+    Instant receiveStarted {};
 };
 
 /** Handles complete requests; shared by all caller connections. */
@@ -53,7 +53,7 @@
     virtual MessageLimits messageLimits() const = 0;
     virtual Duration headTimeout() const = 0;
     virtual Duration idleTimeout() const = 0;
-    virtual const WireProtocol &dialect() const = 0;
+    virtual const WireProtocol &protocol() const = 0;
     /** The process is shutting down: connections are closed after the current response. */
     virtual bool isDraining() const = 0;
 };
--- a/packages/gateway/apricothook/gateway/apricothook_channel_pool.cpp
+++ b/packages/gateway/apricothook/gateway/apricothook_channel_pool.cpp
@@ -12,8 +12,8 @@
 
 } // namespace
 
-ChannelPool::ChannelPool(EventLoop &loop, const WireProtocol &dialect, LogWriter &log)
-    : m_loop(loop), m_protocol(dialect), m_log(log)
+ChannelPool::ChannelPool(EventLoop &loop, const WireProtocol &protocol, LogWriter &log)
+    : m_loop(loop), m_protocol(protocol), m_log(log)
 {
     scheduleSweep();
 }
@@ -35,9 +35,10 @@
 {
     const Duration idle = m_loop.now() - channel.idleSince();
     Duration limit = isRetryable ? Duration(IdleLimit) : Duration(NonRetryableIdleLimit);
-    if (channel.kept())
-        limit = std::min(limit,
-                         std::chrono::duration_cast<Duration>(*channel.kept() * KeepAliveFraction));
+    if (channel.keepAliveTimeout())
+        limit = std::min(
+            limit,
+            std::chrono::duration_cast<Duration>(*channel.keepAliveTimeout() * KeepAliveFraction));
     return idle < limit;
 }
 
@@ -55,7 +56,7 @@
     return *m_channels.back();
 }
 
-void ChannelPool::forget(const TargetId &target)
+void ChannelPool::closeIdle(const TargetId &target)
 {
     const auto found = m_idle.find(target);
     if (found == m_idle.end())
--- a/packages/gateway/apricothook/gateway/apricothook_channel_pool.hpp
+++ b/packages/gateway/apricothook/gateway/apricothook_channel_pool.hpp
@@ -24,7 +24,7 @@
      */
     static constexpr std::chrono::milliseconds NonRetryableIdleLimit {1000};
 
-    ChannelPool(EventLoop &loop, const WireProtocol &dialect, LogWriter &log);
+    ChannelPool(EventLoop &loop, const WireProtocol &protocol, LogWriter &log);
     ~ChannelPool() override;
     ChannelPool(const ChannelPool &) = delete;
     ChannelPool &operator=(const ChannelPool &) = delete;
@@ -32,7 +32,7 @@
     /** Returns an idle channel to the target, or a new one that is still connecting. */
     TargetChannel &acquire(const TargetEntry &target, bool isRetryable);
     /** Closes the idle channels to the target. */
-    void forget(const TargetId &target);
+    void closeIdle(const TargetId &target);
     std::size_t size() const { return m_channels.size(); }
 
 private:
--- a/packages/gateway/apricothook/gateway/apricothook_crash_detector.cpp
+++ b/packages/gateway/apricothook/gateway/apricothook_crash_detector.cpp
@@ -23,9 +23,9 @@
     Probe(const Probe &) = delete;
     Probe &operator=(const Probe &) = delete;
 
-    bool isKept() const { return m_isConnected && m_socket.isOpen(); }
+    bool isConnected() const { return m_isConnected && m_socket.isOpen(); }
 
-    std::vector<Fingerprint> dropped;
+    std::vector<Fingerprint> droppedRequests;
 
 private:
     void onConnected() override { m_isConnected = true; }
@@ -52,7 +52,7 @@
         probe = std::make_unique<Probe>(m_loop, target.address,
                                         [this, start = target.instance()] { evaluate(start); });
     }
-    probe->dropped.push_back(request);
+    probe->droppedRequests.push_back(request);
 }
 
 void CrashDetector::evaluate(const TargetInstance &target)
@@ -61,8 +61,8 @@
     const std::unique_ptr<Probe> probe = std::move(found->second);
     const TargetId id = target.id;
     m_probes.erase(found);
-    if (!probe->isKept())
-        m_crashHandler(id, probe->dropped);
+    if (!probe->isConnected())
+        m_crashHandler(id, probe->droppedRequests);
 }
 
 } // namespace Apricothook
--- a/packages/gateway/apricothook/gateway/apricothook_event_stream_scanner.cpp
+++ b/packages/gateway/apricothook/gateway/apricothook_event_stream_scanner.cpp
@@ -32,10 +32,10 @@
 
 } // namespace
 
-CompleteEvents EventStreamScanner::take(std::string_view bytes)
+CompleteEvents EventStreamScanner::feed(std::string_view bytes)
 {
     m_buffer.append(bytes);
-    CompleteEvents whole;
+    CompleteEvents complete;
     std::string_view left = m_buffer;
     std::size_t end = 0;
     std::optional<std::uint64_t> id;
@@ -47,12 +47,12 @@
             continue;
         }
         end = m_buffer.size() - left.size();
-        ++whole.count;
-        whole.lastId = id ? id : whole.lastId;
+        ++complete.count;
+        complete.lastId = id ? id : complete.lastId;
     }
-    whole.bytes = m_buffer.substr(0, end);
+    complete.bytes = m_buffer.substr(0, end);
     m_buffer.erase(0, end);
-    return whole;
+    return complete;
 }
 
 } // namespace Apricothook
--- a/packages/gateway/apricothook/gateway/apricothook_event_stream_scanner.hpp
+++ b/packages/gateway/apricothook/gateway/apricothook_event_stream_scanner.hpp
@@ -25,9 +25,9 @@
 {
 public:
     /** Appends bytes and returns the events that are now complete. */
-    CompleteEvents take(std::string_view bytes);
+    CompleteEvents feed(std::string_view bytes);
     /** The bytes of an incomplete event. */
-    const std::string &rest() const { return m_buffer; }
+    const std::string &incompleteEvent() const { return m_buffer; }
     void clear() { m_buffer.clear(); }
 
 private:
--- a/packages/gateway/apricothook/gateway/apricothook_forwarded_answer.cpp
+++ b/packages/gateway/apricothook/gateway/apricothook_forwarded_answer.cpp
@@ -36,11 +36,11 @@
     return m_admitted.route->isStream && m_attempt && m_attempt->head.status == HttpStatus::Ok;
 }
 
-void ForwardedRequest::onResponseHead(const ResponseHead &head, const TargetResponseFields &verdict)
+void ForwardedRequest::onResponseHead(const ResponseHead &head, const TargetResponseFields &fields)
 {
     m_attempt->hasHead = true;
     m_attempt->head = head;
-    if (verdict.isMisdirected || verdict.isNotRun) {
+    if (fields.isMisdirected || fields.isNotRun) {
         m_attempt->isNotRun = true;
         return;
     }
@@ -48,14 +48,14 @@
     if (m_progress != Progress::Nothing && head.status != HttpStatus::Ok) {
         m_attempt->channel->cancel();
         m_mayHaveRun = true;
-        attemptFailed(TargetOutcome::Failed, "not-resumed");
+        onAttemptFailed(TargetOutcome::Failed, "not-resumed");
         return;
     }
     const bool isSuccess = head.status >= HttpStatus::Ok && head.status < HttpStatus::FirstRedirect;
-    if (isSuccess && (!verdict.isSigned || head.headers.find("Content-Encoding"))) {
+    if (isSuccess && (!fields.isSigned || head.headers.find("Content-Encoding"))) {
         m_attempt->channel->cancel();
         m_mayHaveRun = true;
-        attemptFailed(TargetOutcome::Failed, "unsigned");
+        onAttemptFailed(TargetOutcome::Failed, "unsigned");
     }
 }
 
@@ -86,12 +86,12 @@
     m_progress = Progress::Head;
     m_status = m_attempt->head.status;
     m_firstByteTime = m_context.loop.now();
-    m_responder.sendHead(m_context.dialect.callerResponse(m_attempt->head), framing);
+    m_responder.sendHead(m_context.protocol.callerResponse(m_attempt->head), framing);
 }
 
 void ForwardedRequest::forwardEvents(std::string_view bytes)
 {
-    const CompleteEvents events = m_scanner.take(bytes);
+    const CompleteEvents events = m_scanner.feed(bytes);
     if (events.count == 0)
         return;
     const Instant now = m_context.loop.now();
@@ -116,7 +116,7 @@
 void ForwardedRequest::onResponseComplete()
 {
     if (m_attempt->isNotRun)
-        attemptFailed(TargetOutcome::Full, "not-run");
+        onAttemptFailed(TargetOutcome::Full, "not-run");
     else if (isStreaming())
         completeStream();
     else
@@ -125,9 +125,9 @@
 
 void ForwardedRequest::completeStream()
 {
-    if (!m_scanner.rest().empty()) {
+    if (!m_scanner.incompleteEvent().empty()) {
         m_mayHaveRun = true;
-        attemptFailed(TargetOutcome::Failed, "cut-event");
+        onAttemptFailed(TargetOutcome::Failed, "cut-event");
         return;
     }
     if (m_progress == Progress::Nothing)
@@ -142,7 +142,7 @@
     if (isFailure && m_progress == Progress::Nothing) {
         m_mayHaveRun = true;
         m_failedAttempt = m_attempt;
-        attemptFailed(TargetOutcome::Failed, "error-status");
+        onAttemptFailed(TargetOutcome::Failed, "error-status");
         return;
     }
     if (m_progress == Progress::Nothing)
@@ -155,13 +155,13 @@
 void ForwardedRequest::onResponseFailed(ChannelFailure failure)
 {
     if (m_attempt->isNotRun) {
-        attemptFailed(TargetOutcome::Full, "not-run");
+        onAttemptFailed(TargetOutcome::Full, "not-run");
         return;
     }
     m_mayHaveRun |= failure != ChannelFailure::NotConnected;
     if (failure == ChannelFailure::Broken)
-        m_context.crashes.recordDropped(m_attempt->target, m_fingerprint);
-    attemptFailed(outcomeOf(failure), AttemptFailure::causeOf(failure));
+        m_context.crashDetector.recordDropped(m_attempt->target, m_fingerprint);
+    onAttemptFailed(outcomeOf(failure), AttemptFailure::causeOf(failure));
 }
 
 } // namespace Apricothook
--- a/packages/gateway/apricothook/gateway/apricothook_forwarded_request.cpp
+++ b/packages/gateway/apricothook/gateway/apricothook_forwarded_request.cpp
@@ -44,7 +44,7 @@
 {
     m_context.loop.cancel(m_deadlineTimer);
     if (m_attempt)
-        m_context.loop.cancel(m_attempt->silence);
+        m_context.loop.cancel(m_attempt->silenceTimer);
 }
 
 void ForwardedRequest::begin()
@@ -53,7 +53,7 @@
     m_lastEvent = m_admitted.fields.lastEventId;
     if (!admitted) {
         const AdmissionRefusal &refusal = admitted.error();
-        sendLocalResponse(refusal.end, refusal.status, refusal.retryAfter);
+        sendLocalResponse(refusal.outcome, refusal.status, refusal.retryAfter);
         return;
     }
     if (m_admitted.deadline <= m_arrived) {
@@ -72,10 +72,10 @@
 
 bool ForwardedRequest::refuseIfQuarantined()
 {
-    const std::optional<Duration> left = m_context.suspects->quarantine(m_fingerprint);
-    if (!left)
+    const std::optional<Duration> remaining = m_context.suspectGuard->quarantine(m_fingerprint);
+    if (!remaining)
         return false;
-    const Duration retryAfter = std::min<Duration>(*left, Dispatcher::LongestRetryAfter);
+    const Duration retryAfter = std::min<Duration>(*remaining, Dispatcher::LongestRetryAfter);
     sendLocalResponse(RequestOutcome::Quarantined, HttpStatus::Unavailable, retryAfter);
     return true;
 }
@@ -86,11 +86,11 @@
         start();
         return;
     }
-    const std::optional<LimitDecision> verdict = m_context.limits.take(
+    const std::optional<LimitDecision> decision = m_context.limits.take(
         m_id, *m_admitted.customer, unitDemand(m_context, m_admitted), m_arrived);
-    m_waitsForUnits = !verdict;
-    if (verdict)
-        limitDecided(*verdict);
+    m_waitsForUnits = !decision;
+    if (decision)
+        onLimitDecided(*decision);
     else
         m_context.unitsRequested();
 }
@@ -99,20 +99,20 @@
 {
     m_context.retryBudgetOf(m_admitted.service).countRequest(m_arrived);
     recordRequestSize(m_context, m_admitted);
-    offer();
+    submit();
 }
 
-void ForwardedRequest::limitDecided(const LimitDecision &verdict)
+void ForwardedRequest::onLimitDecided(const LimitDecision &decision)
 {
     m_waitsForUnits = false;
-    m_limit = verdict;
-    if (verdict.isAdmitted) {
+    m_limitDecision = decision;
+    if (decision.isAdmitted) {
         start();
         return;
     }
-    const Duration retryAfter = std::max<Duration>(verdict.retryAfter, ShortestLimitRetryAfter);
+    const Duration retryAfter = std::max<Duration>(decision.retryAfter, ShortestLimitRetryAfter);
     // Without a grantor it is unknown whether the customer is over its limit, so no 429.
-    if (verdict.source == LimitSource::Nobody)
+    if (decision.source == LimitSource::Nobody)
         sendLocalResponse(RequestOutcome::NoGrantor, HttpStatus::Unavailable, retryAfter);
     else
         sendLocalResponse(RequestOutcome::OverLimit, HttpStatus::TooManyRequests, retryAfter);
@@ -126,7 +126,7 @@
         m_context.limits.cancel(m_id);
 }
 
-void ForwardedRequest::offer()
+void ForwardedRequest::submit()
 {
     m_waiting = true;
     const bool isFirst = m_sends == 0;
@@ -143,7 +143,7 @@
                                 now);
 }
 
-void ForwardedRequest::refused(const RefusalDetails &facts)
+void ForwardedRequest::onRefused(const RefusalDetails &facts)
 {
     m_waiting = false;
     m_refusal = facts;
@@ -153,7 +153,7 @@
         sendLocalResponse(RequestOutcome::NoRoom, HttpStatus::Unavailable, facts.retryAfter);
 }
 
-void ForwardedRequest::placed(const TargetEntry &target)
+void ForwardedRequest::onPlaced(const TargetEntry &target)
 {
     m_waiting = false;
     const Instant now = m_context.loop.now();
@@ -176,17 +176,17 @@
     send(target);
 }
 
-void ForwardedRequest::targetRestarted(const TargetInstance &present)
+void ForwardedRequest::onTargetRestarted(const TargetInstance &current)
 {
-    const bool isLost = m_attempt && m_attempt->target.id == present.id
-        && m_attempt->target.instance() != present;
+    const bool isLost = m_attempt && m_attempt->target.id == current.id
+        && m_attempt->target.instance() != current;
     if (!isLost)
         return;
     // The connection to the earlier instance may stay open without traffic; the caller would then
     // wait until the deadline for a response that is never sent.
     m_attempt->channel->cancel();
     m_mayHaveRun = true;
-    attemptFailed(TargetOutcome::Unreachable, "restarted");
+    onAttemptFailed(TargetOutcome::Unreachable, "restarted");
 }
 
 void ForwardedRequest::send(const TargetEntry &target)
@@ -200,7 +200,7 @@
         .customer = m_admitted.customer ? m_admitted.customer->name : CustomerId(),
         .lastEventId = m_lastEvent,
     };
-    const RequestHead head = m_context.dialect.targetRequest(m_received.head, fields);
+    const RequestHead head = m_context.protocol.targetRequest(m_received.head, fields);
     const bool hasBody = !m_received.body.empty() || m_received.head.headers.find("Content-Length")
         || m_received.head.headers.find("Transfer-Encoding");
     const BodyFraming framing
@@ -227,9 +227,9 @@
 
 void ForwardedRequest::armSilenceTimer(Duration limit)
 {
-    m_context.loop.cancel(m_attempt->silence);
-    m_attempt->silence = m_context.loop.after(limit, [this, limit] {
-        m_attempt->silence = 0;
+    m_context.loop.cancel(m_attempt->silenceTimer);
+    m_attempt->silenceTimer = m_context.loop.after(limit, [this, limit] {
+        m_attempt->silenceTimer = 0;
         // If no retry is possible, keep waiting: a late response is better than none.
         if (!m_admitted.route->isRetryable() || m_runs + 1 >= m_admitted.route->maximumAttempts
             || !mayRetry()) {
@@ -240,11 +240,11 @@
         m_mayHaveRun = true;
         ++m_runs;
         endAttempt(TargetOutcome::Unreachable);
-        offer();
+        submit();
     });
 }
 
-void ForwardedRequest::attemptFailed(TargetOutcome outcome, std::string_view cause)
+void ForwardedRequest::onAttemptFailed(TargetOutcome outcome, std::string_view cause)
 {
     const Instant now = m_context.loop.now();
     m_context.log.write(LogEvent(GatewayEvent::AttemptFailed)
@@ -261,7 +261,7 @@
     m_runs += arrived && outcome != TargetOutcome::Full ? 1 : 0;
     endAttempt(outcome);
     if (arrived ? mayRetry() : m_sends < MaxSends)
-        offer();
+        submit();
     else
         failRequest();
 }
@@ -273,37 +273,37 @@
         && (!m_mayHaveRun || m_admitted.route->isRetryable()) && m_sends < MaxSends
         && m_runs < std::max(m_admitted.route->maximumAttempts, 1U)
         && m_admitted.deadline - now > MinTimeToRetry
-        && !m_context.suspects->quarantine(m_fingerprint);
+        && !m_context.suspectGuard->quarantine(m_fingerprint);
     if (!allowed)
         return false;
-    return takeRetry(now);
+    return takeRetryFromBudget(now);
 }
 
-bool ForwardedRequest::takeRetry(Instant now)
+bool ForwardedRequest::takeRetryFromBudget(Instant now)
 {
-    const RetryDecision verdict
+    const RetryDecision decision
         = m_context.retryBudgetOf(m_admitted.service).tryTake(now, m_context.fleetSize);
-    LogEvent line(verdict.isGranted ? GatewayEvent::RetryGranted : GatewayEvent::RetryDenied);
+    LogEvent line(decision.isGranted ? GatewayEvent::RetryGranted : GatewayEvent::RetryDenied);
     line.forRequest(m_admitted.fields.id)
         .with("service", m_admitted.service.text())
         .with("attempt", m_sends)
-        .with("window_requests", verdict.requests)
-        .with("window_repeats", verdict.retries)
-        .with("window_allowed", verdict.allowed)
-        .with("fleet_size", verdict.daemons);
-    if (verdict.isGranted)
+        .with("window_requests", decision.requests)
+        .with("window_repeats", decision.retries)
+        .with("window_allowed", decision.allowed)
+        .with("fleet_size", decision.daemons);
+    if (decision.isGranted)
         line.markRoutine();
     m_context.log.write(line);
-    m_context.metrics.retryDecided(m_admitted.service, verdict.isGranted);
-    return verdict.isGranted;
+    m_context.metrics.retryDecided(m_admitted.service, decision.isGranted);
+    return decision.isGranted;
 }
 
 void ForwardedRequest::endAttempt(TargetOutcome outcome)
 {
-    m_context.loop.cancel(m_attempt->silence);
+    m_context.loop.cancel(m_attempt->silenceTimer);
     const Instant now = m_context.loop.now();
     if (outcome == TargetOutcome::Served)
-        m_context.suspects->recordAnswer(m_fingerprint);
+        m_context.suspectGuard->recordAnswer(m_fingerprint);
     m_context.targets.requestEnded(m_attempt->target.instance(), m_admitted.size, outcome,
                                    now - m_attempt->started, m_attempt->hasFirstEvent, now);
     if (outcome == TargetOutcome::Served)
@@ -378,36 +378,36 @@
         m_attempt->channel->setReading(true);
 }
 
-void ForwardedRequest::sendLocalResponse(RequestOutcome end, unsigned status,
+void ForwardedRequest::sendLocalResponse(RequestOutcome outcome, unsigned status,
                                          std::optional<Duration> retryAfter)
 {
     m_status = status;
-    m_responder.sendHead(m_context.dialect.localResponse(status, m_admitted.fields.id, retryAfter),
+    m_responder.sendHead(m_context.protocol.localResponse(status, m_admitted.fields.id, retryAfter),
                          {BodyFraming::Kind::Sized, 0});
-    finish(end);
+    finish(outcome);
 }
 
-void ForwardedRequest::finish(RequestOutcome end)
+void ForwardedRequest::finish(RequestOutcome outcome)
 {
     m_progress = Progress::Ended;
     m_context.loop.cancel(m_deadlineTimer);
-    record(end);
+    record(outcome);
     m_responder.finishResponse();
 }
 
-void ForwardedRequest::abort(RequestOutcome end)
+void ForwardedRequest::abort(RequestOutcome outcome)
 {
     m_progress = Progress::Ended;
     m_context.loop.cancel(m_deadlineTimer);
-    record(end);
+    record(outcome);
     m_responder.abortResponse();
 }
 
-void ForwardedRequest::record(RequestOutcome end)
+void ForwardedRequest::record(RequestOutcome outcome)
 {
     const Instant now = m_context.loop.now();
     RequestRecord record {
-        .end = end,
+        .outcome = outcome,
         .id = m_admitted.fields.id,
         .route = m_admitted.route ? m_admitted.route->name : ClassId(),
         .customer = m_admitted.customer ? m_admitted.customer->name : CustomerId(),
@@ -417,14 +417,14 @@
         .status = m_status,
         .sends = m_sends,
         .mayHaveRun = m_mayHaveRun,
-        .took = now - m_arrived,
-        .left = m_admitted.deadline - now,
-        .first = std::nullopt,
+        .duration = now - m_arrived,
+        .remaining = m_admitted.deadline - now,
+        .timeToFirstByte = std::nullopt,
         .refusal = m_refusal,
-        .limit = m_limit,
+        .limit = m_limitDecision,
     };
     if (m_firstByteTime)
-        record.first = *m_firstByteTime - m_arrived;
+        record.timeToFirstByte = *m_firstByteTime - m_arrived;
     recordRequest(record, m_context.log, m_context.metrics);
 }
 
--- a/packages/gateway/apricothook/gateway/apricothook_forwarded_request.hpp
+++ b/packages/gateway/apricothook/gateway/apricothook_forwarded_request.hpp
@@ -33,12 +33,12 @@
 
     ExchangeId id() const { return m_id; }
     void begin();
-    void placed(const TargetEntry &target);
-    void refused(const RefusalDetails &facts);
+    void onPlaced(const TargetEntry &target);
+    void onRefused(const RefusalDetails &facts);
     /** The rate limit of the customer admitted or rejected the request. */
-    void limitDecided(const LimitDecision &verdict);
+    void onLimitDecided(const LimitDecision &decision);
     /** Fails the attempt if it was sent to an earlier instance of the target. */
-    void targetRestarted(const TargetInstance &present);
+    void onTargetRestarted(const TargetInstance &current);
     void onCallerGone() override;
     void onCallerDrained() override;
 
@@ -46,7 +46,7 @@
     /** The part of the response that was sent to the caller. */
     enum class Progress { Nothing, Head, Ended };
 
-    void onResponseHead(const ResponseHead &head, const TargetResponseFields &verdict) override;
+    void onResponseHead(const ResponseHead &head, const TargetResponseFields &fields) override;
     void onResponseBody(std::string_view bytes) override;
     void onResponseComplete() override;
     void onResponseFailed(ChannelFailure failure) override;
@@ -55,7 +55,7 @@
     bool refuseIfQuarantined();
     void acquireUnits();
     void start();
-    void offer();
+    void submit();
     /** Stops waiting for units or a target. */
     void stopWaiting();
     void send(const TargetEntry &target);
@@ -67,17 +67,18 @@
     void forwardHead(BodyFraming framing);
     void completeStream();
     void completeNonStream();
-    void attemptFailed(TargetOutcome outcome, std::string_view cause);
+    void onAttemptFailed(TargetOutcome outcome, std::string_view cause);
     void endAttempt(TargetOutcome outcome);
     bool mayRetry();
     /** Takes one retry from the retry budget; false if it is used up. */
-    bool takeRetry(Instant now);
+    bool takeRetryFromBudget(Instant now);
     void failRequest();
     void onDeadline();
-    void sendLocalResponse(RequestOutcome end, unsigned status, std::optional<Duration> retryAfter);
-    void abort(RequestOutcome end);
-    void finish(RequestOutcome end);
-    void record(RequestOutcome end);
+    void sendLocalResponse(RequestOutcome outcome, unsigned status,
+                           std::optional<Duration> retryAfter);
+    void abort(RequestOutcome outcome);
+    void finish(RequestOutcome outcome);
+    void record(RequestOutcome outcome);
 
     GatewayContext &m_context;
     const ExchangeId m_id;
@@ -105,7 +106,7 @@
     std::optional<Instant> m_firstByteTime;
     /** Set if the dispatcher refused the request. */
     std::optional<RefusalDetails> m_refusal;
-    std::optional<LimitDecision> m_limit;
+    std::optional<LimitDecision> m_limitDecision;
 };
 
 } // namespace Apricothook
--- a/packages/gateway/apricothook/gateway/apricothook_gateway.cpp
+++ b/packages/gateway/apricothook/gateway/apricothook_gateway.cpp
@@ -6,21 +6,22 @@
 
 namespace Apricothook {
 
-Gateway::Gateway(EventLoop &loop, const WireProtocol &dialect, RandomSource &random, LogWriter &log,
-                 Metrics &metrics, const FleetBounds &bounds, const DataCentreId &dataCentre,
-                 const PolicySwitches &policies, const LimitPeer &self)
+Gateway::Gateway(EventLoop &loop, const WireProtocol &protocol, RandomSource &random,
+                 LogWriter &log, Metrics &metrics, const FleetBounds &bounds,
+                 const DataCentreId &dataCentre, const PolicySwitches &policies,
+                 const LimitPeer &self)
     : m_loop(loop)
     , m_bounds(bounds)
     , m_targets(dataCentre, policies, ColdTargetLimiter(self.member, bounds))
     , m_limits(m_bounds, self, *this, *this, *this, random)
     , m_dispatcher(m_targets, *this, policies)
-    , m_channels(loop, dialect, log)
+    , m_channels(loop, protocol, log)
     , m_crashDetector(loop,
                       [this](const TargetId &target, const std::vector<Fingerprint> &requests) {
-                          m_context.suspects->recordCrash(target, requests);
+                          m_context.suspectGuard->recordCrash(target, requests);
                       })
     , m_context {.loop = loop,
-                 .dialect = dialect,
+                 .protocol = protocol,
                  .random = random,
                  .log = log,
                  .metrics = metrics,
@@ -30,14 +31,14 @@
                  .dispatcher = m_dispatcher,
                  .channels = m_channels,
                  .limits = m_limits,
-                 .crashes = m_crashDetector,
-                 .suspects = &m_nullSuspectGuard,
+                 .crashDetector = m_crashDetector,
+                 .suspectGuard = &m_nullSuspectGuard,
                  .routes = nullptr,
                  .members = 1,
                  .fleetSize = std::nullopt,
                  .refusesNewRequests = false,
                  .started = loop.now(),
-                 .retries = {},
+                 .retryBudgets = {},
                  .urgency = {},
                  .sizes = {},
                  .limitReserve = {},
@@ -104,26 +105,26 @@
     const bool isRestarted = known && known->entry.instance() != target.instance();
     m_targets.put(target, m_loop.now());
     if (target.isDraining || isRestarted)
-        m_channels.forget(target.id);
+        m_channels.closeIdle(target.id);
     if (isRestarted)
-        targetRestarted(target.instance());
+        onTargetRestarted(target.instance());
     scheduleReview();
 }
 
-void Gateway::targetRestarted(const TargetInstance &present)
+void Gateway::onTargetRestarted(const TargetInstance &current)
 {
     std::vector<ForwardedRequest *> open;
     for (const auto &[id, exchange] : m_exchanges)
         open.push_back(exchange.get());
     // Requests that end in this loop are destroyed after the current event.
     for (ForwardedRequest *exchange : open)
-        exchange->targetRestarted(present);
+        exchange->onTargetRestarted(current);
 }
 
 void Gateway::removeTarget(const TargetId &target)
 {
     m_targets.remove(target);
-    m_channels.forget(target);
+    m_channels.closeIdle(target);
 }
 
 void Gateway::setEvacuated(const DataCentreId &dataCentre, bool isEvacuated)
@@ -175,7 +176,7 @@
 {
     const auto found = m_exchanges.find(exchange.value());
     if (found != m_exchanges.end())
-        found->second->placed(target);
+        found->second->onPlaced(target);
     if (m_loadListener)
         m_loadListener();
 }
@@ -184,14 +185,14 @@
 {
     const auto found = m_exchanges.find(exchange.value());
     if (found != m_exchanges.end())
-        found->second->refused(facts);
+        found->second->onRefused(facts);
 }
 
-void Gateway::onLimitDecided(ExchangeId exchange, const LimitDecision &verdict)
+void Gateway::onLimitDecided(ExchangeId exchange, const LimitDecision &decision)
 {
     const auto found = m_exchanges.find(exchange.value());
     if (found != m_exchanges.end())
-        found->second->limitDecided(verdict);
+        found->second->onLimitDecided(decision);
 }
 
 void Gateway::onGrantorChanged(std::uint64_t customer, GrantorChange change, double level)
--- a/packages/gateway/apricothook/gateway/apricothook_gateway.hpp
+++ b/packages/gateway/apricothook/gateway/apricothook_gateway.hpp
@@ -18,7 +18,7 @@
                 private LimitMessenger
 {
 public:
-    Gateway(EventLoop &loop, const WireProtocol &dialect, RandomSource &random, LogWriter &log,
+    Gateway(EventLoop &loop, const WireProtocol &protocol, RandomSource &random, LogWriter &log,
             Metrics &metrics, const FleetBounds &bounds, const DataCentreId &dataCentre,
             const PolicySwitches &policies = {}, const LimitPeer &self = {});
     ~Gateway() override;
@@ -55,7 +55,7 @@
     /** Without a messenger, the daemon assumes that it is the only one. */
     void setLimitMessenger(LimitMessenger &messenger);
     /** Without a guard, no request is quarantined. */
-    void setSuspectGuard(SuspectGuard &guard) { m_context.suspects = &guard; }
+    void setSuspectGuard(SuspectGuard &guard) { m_context.suspectGuard = &guard; }
     /** Must be called after limits() received a message or an update. */
     void scheduleLimitReview();
     /** `changed` is called when this daemon's load or queue may have changed. */
@@ -69,18 +69,18 @@
     MessageLimits messageLimits() const override;
     Duration headTimeout() const override { return limits().headTimeout; }
     Duration idleTimeout() const override { return limits().idleTimeout; }
-    const WireProtocol &dialect() const override { return m_context.dialect; }
+    const WireProtocol &protocol() const override { return m_context.protocol; }
     bool isDraining() const override { return m_draining; }
 
     void onPlaced(ExchangeId exchange, const TargetEntry &target) override;
     void onRefused(ExchangeId exchange, const RefusalDetails &facts) override;
 
-    void onLimitDecided(ExchangeId exchange, const LimitDecision &verdict) override;
+    void onLimitDecided(ExchangeId exchange, const LimitDecision &decision) override;
     void onGrantorChanged(std::uint64_t customer, GrantorChange change, double level) override;
     void send(const Endpoint &to, const LimitMessage &message) override;
 
     void accept(int descriptor);
-    void targetRestarted(const TargetInstance &present);
+    void onTargetRestarted(const TargetInstance &current);
     void connectionClosed(CallerConnection &connection);
     void review();
     CallerBounds limits() const;
--- a/packages/gateway/apricothook/gateway/apricothook_gateway_context.hpp
+++ b/packages/gateway/apricothook/gateway/apricothook_gateway_context.hpp
@@ -24,7 +24,7 @@
 struct GatewayContext
 {
     EventLoop &loop;
-    const WireProtocol &dialect;
+    const WireProtocol &protocol;
     RandomSource &random;
     LogWriter &log;
     Metrics &metrics;
@@ -34,9 +34,9 @@
     Dispatcher &dispatcher;
     ChannelPool &channels;
     CustomerRateLimiter &limits;
-    CrashDetector &crashes;
+    CrashDetector &crashDetector;
     /** Never null. */
-    SuspectGuard *suspects;
+    SuspectGuard *suspectGuard;
     /** Null until the first configuration is received. */
     std::shared_ptr<const RouteTable> routes;
     /** Number of live daemons, including this one. */
@@ -47,7 +47,7 @@
     bool refusesNewRequests = false;
     /** When the gateway was created. */
     const Instant started {};
-    std::map<ServiceId, RetryBudgetShare> retries;
+    std::map<ServiceId, RetryBudgetShare> retryBudgets;
     RouteUrgency urgency;
     SizeOrder sizes;
     LimitReserve limitReserve;
@@ -58,7 +58,7 @@
 
     RetryBudgetShare &retryBudgetOf(const ServiceId &service)
     {
-        return retries.try_emplace(service, bounds, started).first->second;
+        return retryBudgets.try_emplace(service, bounds, started).first->second;
     }
 };
 
--- a/packages/gateway/apricothook/gateway/apricothook_request_outcome.cpp
+++ b/packages/gateway/apricothook/gateway/apricothook_request_outcome.cpp
@@ -2,9 +2,9 @@
 
 namespace Apricothook {
 
-std::string_view nameOf(RequestOutcome end)
+std::string_view nameOf(RequestOutcome outcome)
 {
-    switch (end) {
+    switch (outcome) {
     case RequestOutcome::Answered:
         return "answered";
     case RequestOutcome::NoConfiguration:
--- a/packages/gateway/apricothook/gateway/apricothook_request_outcome.hpp
+++ b/packages/gateway/apricothook/gateway/apricothook_request_outcome.hpp
@@ -22,6 +22,6 @@
     CallerGone,
 };
 
-std::string_view nameOf(RequestOutcome end);
+std::string_view nameOf(RequestOutcome outcome);
 
 } // namespace Apricothook
--- a/packages/gateway/apricothook/gateway/apricothook_target_channel.cpp
+++ b/packages/gateway/apricothook/gateway/apricothook_target_channel.cpp
@@ -4,10 +4,10 @@
 
 namespace Apricothook {
 
-TargetChannel::TargetChannel(EventLoop &loop, const WireProtocol &dialect,
+TargetChannel::TargetChannel(EventLoop &loop, const WireProtocol &protocol,
                              TargetChannelOwner &owner, const TargetEntry &target)
     : m_loop(loop)
-    , m_protocol(dialect)
+    , m_protocol(protocol)
     , m_owner(owner)
     , m_target(target)
     , m_socket(loop, *this, target.address)
@@ -105,12 +105,12 @@
     if (m_headReported || !m_reader.hasHead())
         return m_headReported;
     m_headReported = true;
-    const TargetResponseFields verdict = m_protocol.targetResponse(m_reader.head());
-    if (verdict.keepAliveSeconds)
-        m_keepAliveTimeout = std::chrono::seconds(*verdict.keepAliveSeconds);
-    m_isUnexpected = !verdict.requestId.isEmpty() && verdict.requestId != m_request;
+    const TargetResponseFields fields = m_protocol.targetResponse(m_reader.head());
+    if (fields.keepAliveSeconds)
+        m_keepAliveTimeout = std::chrono::seconds(*fields.keepAliveSeconds);
+    m_isUnexpected = !fields.requestId.isEmpty() && fields.requestId != m_request;
     if (!m_isUnexpected) {
-        m_events->onResponseHead(m_reader.head(), verdict);
+        m_events->onResponseHead(m_reader.head(), fields);
         return m_events != nullptr;
     }
     m_owner.onUnexpectedResponse(*this);
--- a/packages/gateway/apricothook/gateway/apricothook_target_channel.hpp
+++ b/packages/gateway/apricothook/gateway/apricothook_target_channel.hpp
@@ -21,7 +21,7 @@
 {
 public:
     virtual ~TargetResponseEvents() = default;
-    virtual void onResponseHead(const ResponseHead &head, const TargetResponseFields &verdict) = 0;
+    virtual void onResponseHead(const ResponseHead &head, const TargetResponseFields &fields) = 0;
     virtual void onResponseBody(std::string_view bytes) = 0;
     virtual void onResponseComplete() = 0;
     virtual void onResponseFailed(ChannelFailure failure) = 0;
@@ -55,7 +55,7 @@
     /** Responses to other requests that are discarded before the channel is closed. */
     static constexpr unsigned MaxUnexpectedResponses = 2;
 
-    TargetChannel(EventLoop &loop, const WireProtocol &dialect, TargetChannelOwner &owner,
+    TargetChannel(EventLoop &loop, const WireProtocol &protocol, TargetChannelOwner &owner,
                   const TargetEntry &target);
     ~TargetChannel() override;
     TargetChannel(const TargetChannel &) = delete;
@@ -73,7 +73,7 @@
     bool isIdle() const { return !m_events && m_socket.isOpen(); }
     Instant idleSince() const { return m_idleSince; }
     /** The target's keep-alive timeout, if it stated one. */
-    std::optional<Duration> kept() const { return m_keepAliveTimeout; }
+    std::optional<Duration> keepAliveTimeout() const { return m_keepAliveTimeout; }
 
 private:
     void onConnected() override;
--- a/packages/gateway/apricothook/gateway/internal/apricothook_attempt.hpp
+++ b/packages/gateway/apricothook/gateway/internal/apricothook_attempt.hpp
@@ -23,7 +23,7 @@
     bool isNotRun = false;
     ResponseHead head;
     std::string body;
-    TimerId silence = 0;
+    TimerId silenceTimer = 0;
 };
 
 } // namespace Apricothook
--- a/packages/gateway/apricothook/gateway/internal/apricothook_request_admission.cpp
+++ b/packages/gateway/apricothook/gateway/internal/apricothook_request_admission.cpp
@@ -28,7 +28,7 @@
     return Outcomes::success();
 }
 
-void setSizeAndDeadline(Instant begun, AdmittedRequest &request)
+void setSizeAndDeadline(Instant receiveStarted, AdmittedRequest &request)
 {
     const RouteRule &route = *request.route;
     const bool hasTier = request.customer && request.customer->tier;
@@ -40,7 +40,7 @@
     const Duration patience = request.fields.timeout.value_or(route.timeout);
     // The caller's timeout also covers the upload of the body. A target that was given the full
     // timeout after the upload would still work after the caller has disconnected.
-    request.deadline = begun + std::min(patience, route.timeout);
+    request.deadline = receiveStarted + std::min(patience, route.timeout);
 }
 
 double demandedUnits(const AdmittedRequest &request)
@@ -62,7 +62,7 @@
                                      AdmittedRequest &request)
 {
     const Result<RequestFields, RequestFieldsError> fields
-        = context.dialect.callerRequest(received.head);
+        = context.protocol.callerRequest(received.head);
     if (!fields)
         return AdmissionRefusal {RequestOutcome::BadRequest, HttpStatus::BadRequest, std::nullopt};
     request.fields = fields.value();
@@ -75,18 +75,18 @@
                                  Duration::zero()};
     request.routes = context.routes;
     BOOST_OUTCOME_TRY(findRoute(context, request));
-    setSizeAndDeadline(received.begun, request);
+    setSizeAndDeadline(received.receiveStarted, request);
     return Outcomes::success();
 }
 
 UnitDemand unitDemand(GatewayContext &context, const AdmittedRequest &request)
 {
     const LimitUnit unit = request.customer->unit;
-    UnitDemand claim {demandedUnits(request), 0};
-    context.limitReserve.recordUnits(unit, *request.route, claim.units);
+    UnitDemand demand {demandedUnits(request), 0};
+    context.limitReserve.recordUnits(unit, *request.route, demand.units);
     if (context.policies.limitReserve)
-        claim.reservedFraction = context.limitReserve.reservedFraction(unit, *request.route);
-    return claim;
+        demand.reservedFraction = context.limitReserve.reservedFraction(unit, *request.route);
+    return demand;
 }
 
 } // namespace Apricothook
--- a/packages/gateway/apricothook/gateway/internal/apricothook_request_admission.hpp
+++ b/packages/gateway/apricothook/gateway/internal/apricothook_request_admission.hpp
@@ -32,7 +32,7 @@
 /** Why a request isn't admitted, and the response to its caller. */
 struct AdmissionRefusal
 {
-    RequestOutcome end = RequestOutcome::BadRequest;
+    RequestOutcome outcome = RequestOutcome::BadRequest;
     unsigned status = 0;
     std::optional<Duration> retryAfter;
 };
--- a/packages/gateway/apricothook/gateway/internal/apricothook_request_record.cpp
+++ b/packages/gateway/apricothook/gateway/internal/apricothook_request_record.cpp
@@ -8,18 +8,18 @@
 
 GatewayEvent eventOf(const RequestRecord &record)
 {
-    if (record.end == RequestOutcome::Answered)
+    if (record.outcome == RequestOutcome::Answered)
         return GatewayEvent::RequestAnswered;
-    if (record.end == RequestOutcome::CallerGone)
+    if (record.outcome == RequestOutcome::CallerGone)
         return GatewayEvent::CallerGone;
     return record.mayHaveRun ? GatewayEvent::RequestFailed : GatewayEvent::RequestRefused;
 }
 
 RequestResult resultOf(const RequestRecord &record)
 {
-    if (record.end == RequestOutcome::Answered)
+    if (record.outcome == RequestOutcome::Answered)
         return RequestResult::Answered;
-    if (record.end == RequestOutcome::CallerGone)
+    if (record.outcome == RequestOutcome::CallerGone)
         return RequestResult::CallerLeft;
     return record.mayHaveRun ? RequestResult::Unknown : RequestResult::NotRun;
 }
@@ -57,28 +57,28 @@
 void recordRequest(const RequestRecord &record, LogWriter &log, Metrics &metrics)
 {
     const RequestLabels labels {record.tier, record.route, record.customer};
-    metrics.requestEnded(labels, resultOf(record), record.took);
-    if (record.first)
-        metrics.timeToFirstToken(labels, *record.first);
+    metrics.requestEnded(labels, resultOf(record), record.duration);
+    if (record.timeToFirstByte)
+        metrics.timeToFirstToken(labels, *record.timeToFirstByte);
     LogEvent line(eventOf(record));
     line.forRequest(record.id)
-        .with("end", std::string(nameOf(record.end)))
+        .with("end", std::string(nameOf(record.outcome)))
         .with("status", record.status)
         .with("route", record.route.text())
         .with("customer", record.customer.text())
         .with("service", record.service.text())
         .with("tier", record.tier.rank())
         .with("sends", record.sends)
-        .with("took_ms", record.took)
-        .with("left_ms", record.left)
+        .with("took_ms", record.duration)
+        .with("left_ms", record.remaining)
         .with("generation", record.generation.value());
-    if (record.first)
-        line.with("first_ms", *record.first);
+    if (record.timeToFirstByte)
+        line.with("first_ms", *record.timeToFirstByte);
     if (record.refusal)
         addRefusal(line, *record.refusal);
     if (record.limit)
         addLimit(line, *record.limit);
-    if (record.end == RequestOutcome::Answered)
+    if (record.outcome == RequestOutcome::Answered)
         line.markRoutine();
     log.write(line);
 }
--- a/packages/gateway/apricothook/gateway/internal/apricothook_request_record.hpp
+++ b/packages/gateway/apricothook/gateway/internal/apricothook_request_record.hpp
@@ -13,7 +13,7 @@
 /** The data that is logged and counted when a request ends. */
 struct RequestRecord
 {
-    RequestOutcome end = RequestOutcome::Answered;
+    RequestOutcome outcome = RequestOutcome::Answered;
     RequestKey id;
     ClassId route;
     CustomerId customer;
@@ -24,11 +24,11 @@
     /** Sends to targets, including those that a target refused. */
     unsigned sends = 0;
     bool mayHaveRun = false;
-    Duration took {};
+    Duration duration {};
     /** Time until the deadline; negative after it. */
-    Duration left {};
+    Duration remaining {};
     /** From arrival to the first byte of the response. */
-    std::optional<Duration> first;
+    std::optional<Duration> timeToFirstByte;
     /** Set if the dispatcher refused the request. */
     std::optional<RefusalDetails> refusal;
     /** The decision of the customer's rate limit; unset if none was needed. */
--- a/packages/gateway/tests/apricothook_gateway_caller_tests.cpp
+++ b/packages/gateway/tests/apricothook_gateway_caller_tests.cpp
@@ -13,11 +13,11 @@
     return caller.received.size() > Start ? std::stoi(caller.received.substr(Start, 3)) : 0;
 }
 
-int answerTo(GatewayFixture &bench, const std::string &bytes)
+int answerTo(GatewayFixture &fixture, const std::string &bytes)
 {
-    RecordingConnection &caller = bench.connect();
+    RecordingConnection &caller = fixture.connect();
     caller.socket.send(bytes);
-    bench.until([&] { return caller.has("\r\n\r\n") || caller.end; });
+    fixture.runUntil([&] { return caller.has("\r\n\r\n") || caller.end; });
     return statusOf(caller);
 }
 
@@ -27,129 +27,129 @@
 {
     // Guards against request smuggling: a proxy on the path that frames such a request differently
     // would treat the rest of its body as another request. Expected: 400, and nothing is forwarded.
-    GatewayFixture bench;
+    GatewayFixture fixture;
     const std::string start = "POST /once/x HTTP/1.1\r\nHost: host\r\nId: a\r\n";
     const std::string smuggled = "GET /once/y HTTP/1.1\r\nHost: host\r\nId: b\r\n\r\n";
-    CHECK(answerTo(bench,
+    CHECK(answerTo(fixture,
                    start + "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"
                        + smuggled)
           == 400);
-    CHECK(answerTo(bench, start + "Transfer-Encoding: xchunked\r\n\r\n" + smuggled) == 400);
-    CHECK(answerTo(bench, start + "Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n" + smuggled)
+    CHECK(answerTo(fixture, start + "Transfer-Encoding: xchunked\r\n\r\n" + smuggled) == 400);
+    CHECK(answerTo(fixture, start + "Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n" + smuggled)
           == 400);
-    CHECK(answerTo(bench, start + "Content-Length: 4\r\nContent-Length: 5\r\n\r\nabcd" + smuggled)
+    CHECK(answerTo(fixture, start + "Content-Length: 4\r\nContent-Length: 5\r\n\r\nabcd" + smuggled)
           == 400);
-    CHECK(answerTo(bench, start + "Content-Length: -1\r\n\r\n" + smuggled) == 400);
-    CHECK(answerTo(bench, start + "Host: other\r\n\r\n" + smuggled) == 400);
-    CHECK(answerTo(bench, "nonsense\r\n\r\n" + smuggled) == 400);
-    bench.runPendingEvents();
-    CHECK(bench.target(0).requests() == 0);
+    CHECK(answerTo(fixture, start + "Content-Length: -1\r\n\r\n" + smuggled) == 400);
+    CHECK(answerTo(fixture, start + "Host: other\r\n\r\n" + smuggled) == 400);
+    CHECK(answerTo(fixture, "nonsense\r\n\r\n" + smuggled) == 400);
+    fixture.runPendingEvents();
+    CHECK(fixture.target(0).requests() == 0);
 }
 
 TEST_CASE("oversized and invalid requests are rejected")
 {
-    GatewayFixture bench;
-    CHECK(answerTo(bench, GatewayFixture::request("once", "a", std::string(3000, 'x'))) == 413);
-    CHECK(answerTo(bench,
+    GatewayFixture fixture;
+    CHECK(answerTo(fixture, GatewayFixture::request("once", "a", std::string(3000, 'x'))) == 413);
+    CHECK(answerTo(fixture,
                    "GET /once/x HTTP/1.1\r\nHost: host\r\nId: a\r\nLong: " + std::string(2000, 'x')
                        + "\r\n\r\n")
           == 431);
-    CHECK(answerTo(bench, GatewayFixture::request("nowhere", "a")) == 404);
-    CHECK(answerTo(bench, "GET /once/x HTTP/1.1\r\nHost: host\r\n\r\n") == 400);
-    CHECK(bench.target(0).requests() == 0);
+    CHECK(answerTo(fixture, GatewayFixture::request("nowhere", "a")) == 404);
+    CHECK(answerTo(fixture, "GET /once/x HTTP/1.1\r\nHost: host\r\n\r\n") == 400);
+    CHECK(fixture.target(0).requests() == 0);
 }
 
 TEST_CASE("a caller that sends its head too slowly is disconnected")
 {
     // Otherwise slow callers could exhaust the daemon's descriptors. Expected: 408 after the head
     // timeout, then the connection is closed.
-    GatewayFixture bench;
-    RecordingConnection &caller = bench.connect();
+    GatewayFixture fixture;
+    RecordingConnection &caller = fixture.connect();
     caller.socket.send("GET /once/x HTTP/1.1\r\nHost: ho");
-    bench.runPendingEvents();
-    bench.clock.advance(std::chrono::milliseconds(3100));
-    REQUIRE(bench.until([&] { return caller.has("\r\n\r\n"); }));
+    fixture.runPendingEvents();
+    fixture.clock.advance(std::chrono::milliseconds(3100));
+    REQUIRE(fixture.runUntil([&] { return caller.has("\r\n\r\n"); }));
     CHECK(statusOf(caller) == 408);
-    CHECK(bench.until([&] { return caller.end.has_value(); }));
+    CHECK(fixture.runUntil([&] { return caller.end.has_value(); }));
 }
 
 TEST_CASE("an incomplete request is not forwarded")
 {
     // The caller disconnects after half of the body; the request must not run.
-    GatewayFixture bench;
-    RecordingConnection &caller = bench.connect();
+    GatewayFixture fixture;
+    RecordingConnection &caller = fixture.connect();
     caller.socket.send(
         "POST /once/x HTTP/1.1\r\nHost: host\r\nId: a\r\nContent-Length: 10\r\n\r\nhalf");
-    bench.runPendingEvents();
+    fixture.runPendingEvents();
     caller.socket.close();
-    CHECK(bench.until([&] { return bench.gateway.callerConnections() == 0; }));
-    bench.runPendingEvents();
-    CHECK(bench.target(0).requests() == 0);
+    CHECK(fixture.runUntil([&] { return fixture.gateway.callerConnections() == 0; }));
+    fixture.runPendingEvents();
+    CHECK(fixture.target(0).requests() == 0);
 }
 
 TEST_CASE("an idle connection is closed after the idle timeout and not before")
 {
-    GatewayFixture bench;
-    RecordingConnection &caller = bench.connect();
-    bench.runPendingEvents();
-    bench.clock.advance(std::chrono::seconds(14));
-    bench.runPendingEvents();
+    GatewayFixture fixture;
+    RecordingConnection &caller = fixture.connect();
+    fixture.runPendingEvents();
+    fixture.clock.advance(std::chrono::seconds(14));
+    fixture.runPendingEvents();
     CHECK_FALSE(caller.end);
-    bench.clock.advance(std::chrono::seconds(2));
-    CHECK(bench.until([&] { return caller.end.has_value(); }));
+    fixture.clock.advance(std::chrono::seconds(2));
+    CHECK(fixture.runUntil([&] { return caller.end.has_value(); }));
 }
 
 TEST_CASE("a request that arrives while its connection is being closed is not forwarded")
 {
     // The caller's request and the daemon's close cross on the wire. The caller gets no response
     // and may retry elsewhere, so the request must not run here.
-    GatewayFixture bench;
-    RecordingConnection &caller = bench.connect();
-    bench.runPendingEvents();
-    bench.gateway.stopListening();
+    GatewayFixture fixture;
+    RecordingConnection &caller = fixture.connect();
+    fixture.runPendingEvents();
+    fixture.gateway.stopListening();
     caller.socket.send(GatewayFixture::request("once", "a"));
-    CHECK(bench.until([&] { return caller.end.has_value(); }));
-    bench.runPendingEvents();
-    CHECK(bench.target(0).requests() == 0);
+    CHECK(fixture.runUntil([&] { return caller.end.has_value(); }));
+    fixture.runPendingEvents();
+    CHECK(fixture.target(0).requests() == 0);
 }
 
 TEST_CASE("a caller that continues sending after a rejection receives the rejection")
 {
     // The caller sends a body that is too large and reads the response only afterwards. Closing
     // with unread bytes would reset the connection and discard the response.
-    GatewayFixture bench;
-    RecordingConnection &caller = bench.connect();
+    GatewayFixture fixture;
+    RecordingConnection &caller = fixture.connect();
     caller.socket.send(GatewayFixture::request("once", "a", std::string(3000, 'x')));
     for (int i = 0; i < 20; ++i) {
-        bench.loop.runOnce(std::chrono::milliseconds(1));
+        fixture.loop.runOnce(std::chrono::milliseconds(1));
         caller.socket.send(std::string(3000, 'x'));
     }
-    REQUIRE(bench.until([&] { return caller.end.has_value(); }));
+    REQUIRE(fixture.runUntil([&] { return caller.end.has_value(); }));
     CHECK(*caller.end == CloseReason::PeerClosed);
     CHECK(statusOf(caller) == 413);
 }
 
 TEST_CASE("a chunked body is forwarded completely")
 {
-    GatewayFixture bench;
-    RecordingConnection &caller = bench.connect();
+    GatewayFixture fixture;
+    RecordingConnection &caller = fixture.connect();
     caller.socket.send(
         "POST /once/x HTTP/1.1\r\nHost: host\r\nId: a\r\nTransfer-Encoding: chunked\r\n\r\n"
         "3\r\nabc\r\n2;note=1\r\nde\r\n0\r\n\r\n");
-    REQUIRE(bench.waitForTarget());
-    CHECK(bench.target(0).connection(0).has("Content-Length: 5\r\n"));
-    CHECK(bench.target(0).connection(0).received.ends_with("abcde"));
+    REQUIRE(fixture.waitForTarget());
+    CHECK(fixture.target(0).connection(0).has("Content-Length: 5\r\n"));
+    CHECK(fixture.target(0).connection(0).received.ends_with("abcde"));
 }
 
 TEST_CASE("hop-by-hop headers are not forwarded")
 {
-    GatewayFixture bench;
-    RecordingConnection &caller = bench.connect();
+    GatewayFixture fixture;
+    RecordingConnection &caller = fixture.connect();
     caller.socket.send(
         "GET /once/x HTTP/1.1\r\nHost: host\r\nId: a\r\nConnection: Secret\r\nSecret: 1\r\n"
         "TE: trailers\r\nUpgrade: h2c\r\nKept: yes\r\n\r\n");
-    REQUIRE(bench.waitForTarget());
-    const RecordingConnection &run = bench.target(0).connection(0);
+    REQUIRE(fixture.waitForTarget());
+    const RecordingConnection &run = fixture.target(0).connection(0);
     CHECK(run.has("Kept: yes\r\n"));
     CHECK_FALSE(run.has("Secret"));
     CHECK_FALSE(run.has("Upgrade"));
@@ -158,13 +158,13 @@
 
 TEST_CASE("a daemon that shuts down closes each connection after its response")
 {
-    GatewayFixture bench;
-    RecordingConnection &caller = bench.connect();
+    GatewayFixture fixture;
+    RecordingConnection &caller = fixture.connect();
     caller.socket.send(GatewayFixture::request("once", "a"));
-    REQUIRE(bench.waitForTarget());
-    bench.gateway.startDraining();
-    bench.target(0).connection(0).socket.send(signedResponse("a", "last"));
-    REQUIRE(bench.until([&] { return caller.end.has_value(); }));
+    REQUIRE(fixture.waitForTarget());
+    fixture.gateway.startDraining();
+    fixture.target(0).connection(0).socket.send(signedResponse("a", "last"));
+    REQUIRE(fixture.runUntil([&] { return caller.end.has_value(); }));
     CHECK(*caller.end == CloseReason::PeerClosed);
     CHECK(caller.has("Connection: close\r\n"));
     CHECK(caller.has("last"));
@@ -172,40 +172,40 @@
 
 TEST_CASE("the upload time of a slow body is deducted from the timeout for the target")
 {
-    GatewayFixture bench;
-    RecordingConnection &caller = bench.connect();
+    GatewayFixture fixture;
+    RecordingConnection &caller = fixture.connect();
     caller.socket.send("POST /once/x HTTP/1.1\r\nHost: host\r\nId: a\r\nPatience: 900\r\n"
                        "Content-Length: 4\r\n\r\nab");
-    bench.runPendingEvents();
-    bench.clock.advance(std::chrono::milliseconds(600));
+    fixture.runPendingEvents();
+    fixture.clock.advance(std::chrono::milliseconds(600));
     caller.socket.send("cd");
-    ScriptedTarget *target = bench.waitForTarget();
+    ScriptedTarget *target = fixture.waitForTarget();
     REQUIRE(target);
     CHECK(target->connection(0).has("Patience: 300\r\n"));
 }
 
 TEST_CASE("a request that times out before its body is complete is rejected as not run")
 {
-    GatewayFixture bench;
-    RecordingConnection &caller = bench.connect();
+    GatewayFixture fixture;
+    RecordingConnection &caller = fixture.connect();
     caller.socket.send("POST /once/x HTTP/1.1\r\nHost: host\r\nId: a\r\nPatience: 500\r\n"
                        "Content-Length: 4\r\n\r\nab");
-    bench.runPendingEvents();
-    bench.clock.advance(std::chrono::milliseconds(600));
+    fixture.runPendingEvents();
+    fixture.clock.advance(std::chrono::milliseconds(600));
     caller.socket.send("cd");
-    bench.until([&] { return caller.has("\r\n\r\n"); });
+    fixture.runUntil([&] { return caller.has("\r\n\r\n"); });
     CHECK(statusOf(caller) == 503);
-    CHECK(bench.target(0).requests() == 0);
+    CHECK(fixture.target(0).requests() == 0);
 }
 
 TEST_CASE("the idle time of a connection is not deducted from the timeout of its next request")
 {
-    GatewayFixture bench;
-    RecordingConnection &caller = bench.connect();
-    bench.runPendingEvents();
-    bench.clock.advance(std::chrono::milliseconds(600));
+    GatewayFixture fixture;
+    RecordingConnection &caller = fixture.connect();
+    fixture.runPendingEvents();
+    fixture.clock.advance(std::chrono::milliseconds(600));
     caller.socket.send("GET /once/x HTTP/1.1\r\nHost: host\r\nId: a\r\nPatience: 900\r\n\r\n");
-    ScriptedTarget *target = bench.waitForTarget();
+    ScriptedTarget *target = fixture.waitForTarget();
     REQUIRE(target);
     CHECK(target->connection(0).has("Patience: 900\r\n"));
 }
--- a/packages/gateway/tests/apricothook_gateway_crash_tests.cpp
+++ b/packages/gateway/tests/apricothook_gateway_crash_tests.cpp
@@ -43,58 +43,58 @@
 
 TEST_CASE("all requests that are lost in a crash are reported together")
 {
-    CrashFixture bench;
-    RecordingConnection &first = bench.connect();
+    CrashFixture fixture;
+    RecordingConnection &first = fixture.connect();
     first.socket.send(GatewayFixture::request("once", "a", "one"));
-    RecordingConnection &second = bench.connect();
+    RecordingConnection &second = fixture.connect();
     second.socket.send(GatewayFixture::request("once", "b", "two"));
-    REQUIRE(bench.until([&] { return bench.target(0).requests() == 2; }));
-    bench.target(0).crash();
-    REQUIRE(bench.until([&] { return first.has("\r\n\r\n") && second.has("\r\n\r\n"); }));
-    bench.runPendingEvents();
-    bench.clock.advance(CrashDetector::ProbeTime);
-    REQUIRE(bench.until([&] { return !bench.guard.crashes.empty(); }));
-    REQUIRE(bench.guard.crashes.size() == 1);
-    CHECK(bench.guard.crashes[0].first == TargetId("t0"));
-    CHECK(bench.guard.crashes[0].second.size() == 2);
-    CHECK(bench.guard.answered.empty());
+    REQUIRE(fixture.runUntil([&] { return fixture.target(0).requests() == 2; }));
+    fixture.target(0).crash();
+    REQUIRE(fixture.runUntil([&] { return first.has("\r\n\r\n") && second.has("\r\n\r\n"); }));
+    fixture.runPendingEvents();
+    fixture.clock.advance(CrashDetector::ProbeTime);
+    REQUIRE(fixture.runUntil([&] { return !fixture.guard.crashes.empty(); }));
+    REQUIRE(fixture.guard.crashes.size() == 1);
+    CHECK(fixture.guard.crashes[0].first == TargetId("t0"));
+    CHECK(fixture.guard.crashes[0].second.size() == 2);
+    CHECK(fixture.guard.answered.empty());
 }
 
 TEST_CASE("a target that drops a connection but accepts new ones is not reported as crashed")
 {
-    CrashFixture bench;
-    RecordingConnection &caller = bench.connect();
+    CrashFixture fixture;
+    RecordingConnection &caller = fixture.connect();
     caller.socket.send(GatewayFixture::request("once", "a"));
-    ScriptedTarget *target = bench.waitForTarget();
+    ScriptedTarget *target = fixture.waitForTarget();
     REQUIRE(target);
     target->connection(0).socket.abort();
-    REQUIRE(bench.until([&] { return caller.has("\r\n\r\n"); }));
-    bench.runPendingEvents();
-    bench.clock.advance(CrashDetector::ProbeTime);
-    bench.runPendingEvents();
-    CHECK(bench.guard.crashes.empty());
+    REQUIRE(fixture.runUntil([&] { return caller.has("\r\n\r\n"); }));
+    fixture.runPendingEvents();
+    fixture.clock.advance(CrashDetector::ProbeTime);
+    fixture.runPendingEvents();
+    CHECK(fixture.guard.crashes.empty());
 }
 
 TEST_CASE("a quarantined request is rejected as not run, with a Retry-After")
 {
-    CrashFixture bench;
-    RecordingConnection &caller = bench.connect();
+    CrashFixture fixture;
+    RecordingConnection &caller = fixture.connect();
     caller.socket.send(GatewayFixture::request("idempotent", "a", "poison"));
-    ScriptedTarget *target = bench.waitForTarget();
+    ScriptedTarget *target = fixture.waitForTarget();
     REQUIRE(target);
     target->connection(0).socket.send(signedResponse("a", "fine"));
-    REQUIRE(bench.until([&] { return caller.has("fine"); }));
-    REQUIRE(bench.guard.answered.size() == 1);
+    REQUIRE(fixture.runUntil([&] { return caller.has("fine"); }));
+    REQUIRE(fixture.guard.answered.size() == 1);
     // The same request with another id has the same fingerprint.
-    bench.guard.quarantined.insert(bench.guard.answered.front());
-    RecordingConnection &again = bench.connect();
+    fixture.guard.quarantined.insert(fixture.guard.answered.front());
+    RecordingConnection &again = fixture.connect();
     again.socket.send(GatewayFixture::request("idempotent", "b", "poison"));
-    REQUIRE(bench.until([&] { return again.has("\r\n\r\n"); }));
+    REQUIRE(fixture.runUntil([&] { return again.has("\r\n\r\n"); }));
     CHECK(again.has("HTTP/1.1 503 "));
     CHECK(again.has("Retry-After: "));
-    CHECK(bench.target(0).requests() == 1);
+    CHECK(fixture.target(0).requests() == 1);
     // A different body gives a different fingerprint.
-    RecordingConnection &other = bench.connect();
+    RecordingConnection &other = fixture.connect();
     other.socket.send(GatewayFixture::request("idempotent", "c", "harmless"));
-    CHECK(bench.until([&] { return bench.target(0).requests() == 2; }));
+    CHECK(fixture.runUntil([&] { return fixture.target(0).requests() == 2; }));
 }
--- a/packages/gateway/tests/apricothook_gateway_fixture.cpp
+++ b/packages/gateway/tests/apricothook_gateway_fixture.cpp
@@ -39,7 +39,7 @@
 
 GatewayFixture::GatewayFixture(std::size_t count)
     : bounds(testBounds())
-    , gateway(loop, dialect, random, log, metrics, bounds, DataCentreId("here"))
+    , gateway(loop, protocol, random, log, metrics, bounds, DataCentreId("here"))
 {
     // The gateway's share of the retry budget grows to its full size over one window.
     clock.advance(bounds.retryWindow);
@@ -76,7 +76,7 @@
     return configuration;
 }
 
-bool GatewayFixture::until(const std::function<bool()> &done)
+bool GatewayFixture::runUntil(const std::function<bool()> &done)
 {
     for (int round = 0; round < MaxIterations; ++round) {
         if (done())
@@ -112,7 +112,7 @@
 ScriptedTarget *GatewayFixture::waitForTarget(std::size_t count)
 {
     ScriptedTarget *found = nullptr;
-    until([&] {
+    runUntil([&] {
         for (const std::unique_ptr<ScriptedTarget> &each : targets) {
             if (each->requests() >= count)
                 found = each.get();
--- a/packages/gateway/tests/apricothook_gateway_fixture.hpp
+++ b/packages/gateway/tests/apricothook_gateway_fixture.hpp
@@ -44,7 +44,7 @@
     /** One route per kind; the name of a route is its prefix without the slashes. */
     static ServingConfiguration configuration();
     /** Runs the loop until `done` returns true; false after a bounded number of iterations. */
-    bool until(const std::function<bool()> &done);
+    bool runUntil(const std::function<bool()> &done);
     /** Runs the loop for a fixed number of iterations, so that pending events are processed. */
     void runPendingEvents();
     RecordingConnection &connect();
@@ -57,7 +57,7 @@
 
     ManualClock clock;
     EventLoop loop {clock};
-    TestProtocol dialect;
+    TestProtocol protocol;
     FixedRandom random;
     RecordingLog log;
     Metrics metrics;
--- a/packages/gateway/tests/apricothook_gateway_limit_tests.cpp
+++ b/packages/gateway/tests/apricothook_gateway_limit_tests.cpp
@@ -52,7 +52,7 @@
     /** Waits for a request for units and answers it. */
     bool answer(UnitsOutcome outcome)
     {
-        if (!until([&] { return !messages.asks.empty(); }))
+        if (!runUntil([&] { return !messages.asks.empty(); }))
             return false;
         UnitsReply told;
         told.member = Grantor.member;
@@ -72,24 +72,24 @@
 
 TEST_CASE("a request runs only after the customer's grantor has granted units")
 {
-    LimitFixture bench;
-    bench.send("a");
-    REQUIRE(bench.until([&] { return !bench.messages.asks.empty(); }));
-    CHECK(bench.messages.asks.front().first == bench.Grantor.address);
-    CHECK(bench.messages.asks.front().second.units == 1);
-    CHECK(bench.target(0).requests() == 0);
-    REQUIRE(bench.answer(UnitsOutcome::Granted));
-    CHECK(bench.waitForTarget());
+    LimitFixture fixture;
+    fixture.send("a");
+    REQUIRE(fixture.runUntil([&] { return !fixture.messages.asks.empty(); }));
+    CHECK(fixture.messages.asks.front().first == fixture.Grantor.address);
+    CHECK(fixture.messages.asks.front().second.units == 1);
+    CHECK(fixture.target(0).requests() == 0);
+    REQUIRE(fixture.answer(UnitsOutcome::Granted));
+    CHECK(fixture.waitForTarget());
 }
 
 TEST_CASE("a caller over its customer's limit gets 429 with the grantor's Retry-After")
 {
-    LimitFixture bench;
-    RecordingConnection &caller = bench.send("a");
-    REQUIRE(bench.answer(UnitsOutcome::Refused));
-    REQUIRE(bench.until([&] { return caller.has("HTTP/1.1 429 "); }));
+    LimitFixture fixture;
+    RecordingConnection &caller = fixture.send("a");
+    REQUIRE(fixture.answer(UnitsOutcome::Refused));
+    REQUIRE(fixture.runUntil([&] { return caller.has("HTTP/1.1 429 "); }));
     CHECK(caller.has("Retry-After: 700000\r\n"));
-    CHECK(bench.target(0).requests() == 0);
+    CHECK(fixture.target(0).requests() == 0);
 }
 
 TEST_CASE("a caller gets 503 instead of 429 if no grantor responds")
@@ -97,34 +97,34 @@
     // The grantor is dead. Without an overshoot the daemon has no credit to admit requests on its
     // own, and a request without units must not run. Whether the customer is over its limit is
     // unknown, so the response is 503 (not run).
-    LimitFixture bench;
+    LimitFixture fixture;
     for (int id = 0; id < 40; ++id)
-        bench.send("a" + std::to_string(id));
-    RecordingConnection &last = bench.send("last");
-    bench.runPendingEvents();
+        fixture.send("a" + std::to_string(id));
+    RecordingConnection &last = fixture.send("last");
+    fixture.runPendingEvents();
     for (int round = 0; round < 8; ++round) {
-        bench.clock.advance(CustomerRateLimiter::AnswerTime);
-        bench.runPendingEvents();
+        fixture.clock.advance(CustomerRateLimiter::AnswerTime);
+        fixture.runPendingEvents();
     }
-    REQUIRE(bench.until([&] { return last.has("HTTP/1.1 "); }));
+    REQUIRE(fixture.runUntil([&] { return last.has("HTTP/1.1 "); }));
     CHECK(last.has("HTTP/1.1 503 "));
     CHECK(last.has("Retry-After: "));
-    CHECK(bench.target(0).requests() == 0);
+    CHECK(fixture.target(0).requests() == 0);
 }
 
 TEST_CASE("a caller that disconnects while its request waits for units leaves no state behind")
 {
     // The units are granted after the disconnect. Nothing may run, and the next request is served.
-    LimitFixture bench;
-    RecordingConnection &caller = bench.send("a");
-    REQUIRE(bench.until([&] { return !bench.messages.asks.empty(); }));
+    LimitFixture fixture;
+    RecordingConnection &caller = fixture.send("a");
+    REQUIRE(fixture.runUntil([&] { return !fixture.messages.asks.empty(); }));
     caller.socket.abort();
-    REQUIRE(bench.until([&] { return bench.gateway.openRequests() == 0; }));
-    REQUIRE(bench.answer(UnitsOutcome::Granted));
-    bench.runPendingEvents();
-    CHECK(bench.target(0).requests() == 0);
-    bench.messages.asks.clear();
-    bench.send("b");
-    REQUIRE(bench.answer(UnitsOutcome::Granted));
-    CHECK(bench.waitForTarget());
+    REQUIRE(fixture.runUntil([&] { return fixture.gateway.openRequests() == 0; }));
+    REQUIRE(fixture.answer(UnitsOutcome::Granted));
+    fixture.runPendingEvents();
+    CHECK(fixture.target(0).requests() == 0);
+    fixture.messages.asks.clear();
+    fixture.send("b");
+    REQUIRE(fixture.answer(UnitsOutcome::Granted));
+    CHECK(fixture.waitForTarget());
 }
--- a/packages/gateway/tests/apricothook_gateway_plain_tests.cpp
+++ b/packages/gateway/tests/apricothook_gateway_plain_tests.cpp
@@ -6,32 +6,32 @@
 
 TEST_CASE("a response that is not a stream is forwarded unchanged")
 {
-    GatewayFixture bench;
-    RecordingConnection &caller = bench.connect();
+    GatewayFixture fixture;
+    RecordingConnection &caller = fixture.connect();
     caller.socket.send(GatewayFixture::request("once", "a", "ticket"));
-    ScriptedTarget *target = bench.waitForTarget();
+    ScriptedTarget *target = fixture.waitForTarget();
     REQUIRE(target);
     CHECK(target->connection(0).has("POST /once/x HTTP/1.1\r\n"));
     CHECK(target->connection(0).has("Only: t0\r\n"));
     CHECK(target->connection(0).received.ends_with("\r\n\r\nticket"));
     target->connection(0).socket.send(signedResponse("a", "filed"));
-    REQUIRE(bench.until([&] { return caller.has("filed"); }));
+    REQUIRE(fixture.runUntil([&] { return caller.has("filed"); }));
     CHECK(caller.has("HTTP/1.1 200 OK\r\n"));
     CHECK(caller.has("Signed: yes\r\n"));
 }
 
 TEST_CASE("connections to callers and targets are reused for consecutive requests")
 {
-    GatewayFixture bench;
-    RecordingConnection &caller = bench.connect();
+    GatewayFixture fixture;
+    RecordingConnection &caller = fixture.connect();
     for (const std::string id : {"a", "b", "c"}) {
-        const std::size_t before = bench.target(0).requests();
+        const std::size_t before = fixture.target(0).requests();
         caller.socket.send(GatewayFixture::request("once", id));
-        REQUIRE(bench.until([&] { return bench.target(0).requests() == before + 1; }));
-        bench.target(0).connection(0).socket.send(signedResponse(id, "answer-" + id));
-        REQUIRE(bench.until([&] { return caller.has("answer-" + id); }));
+        REQUIRE(fixture.runUntil([&] { return fixture.target(0).requests() == before + 1; }));
+        fixture.target(0).connection(0).socket.send(signedResponse(id, "answer-" + id));
+        REQUIRE(fixture.runUntil([&] { return caller.has("answer-" + id); }));
     }
-    CHECK(bench.target(0).connections.size() == 1);
+    CHECK(fixture.target(0).connections.size() == 1);
 }
 
 TEST_CASE("a response without a length is complete only after an orderly close")
@@ -40,18 +40,18 @@
     // so the caller gets 502: the request may have run.
     for (const bool orderly : {true, false}) {
         CAPTURE(orderly);
-        GatewayFixture bench;
-        RecordingConnection &caller = bench.connect();
+        GatewayFixture fixture;
+        RecordingConnection &caller = fixture.connect();
         caller.socket.send(GatewayFixture::request("once", "a"));
-        ScriptedTarget *target = bench.waitForTarget();
+        ScriptedTarget *target = fixture.waitForTarget();
         REQUIRE(target);
         target->connection(0).socket.send("HTTP/1.1 200 OK\r\nId: a\r\nSigned: yes\r\n\r\npart");
-        bench.runPendingEvents();
+        fixture.runPendingEvents();
         if (orderly)
             target->connection(0).socket.close();
         else
             target->connection(0).socket.abort();
-        REQUIRE(bench.until([&] { return caller.has("HTTP/1.1 "); }));
+        REQUIRE(fixture.runUntil([&] { return caller.has("HTTP/1.1 "); }));
         CHECK(caller.has(orderly ? "HTTP/1.1 200 " : "HTTP/1.1 502 "));
         CHECK(caller.has("part") == orderly);
     }
@@ -61,36 +61,36 @@
 {
     // The target responds to the first request twice. The duplicate arrives when the response to
     // the second request is due; it is recognized by its id and discarded.
-    GatewayFixture bench;
-    RecordingConnection &caller = bench.connect();
+    GatewayFixture fixture;
+    RecordingConnection &caller = fixture.connect();
     caller.socket.send(GatewayFixture::request("once", "a"));
-    ScriptedTarget *target = bench.waitForTarget();
+    ScriptedTarget *target = fixture.waitForTarget();
     REQUIRE(target);
     target->connection(0).socket.send(signedResponse("a", "first"));
-    REQUIRE(bench.until([&] { return caller.has("first"); }));
+    REQUIRE(fixture.runUntil([&] { return caller.has("first"); }));
     caller.socket.send(GatewayFixture::request("once", "b"));
-    REQUIRE(bench.until([&] { return target->requests() == 2; }));
+    REQUIRE(fixture.runUntil([&] { return target->requests() == 2; }));
     RecordingConnection &run = *target->connections.back();
     run.socket.send(signedResponse("a", "stray"));
-    bench.runPendingEvents();
+    fixture.runPendingEvents();
     CHECK_FALSE(caller.has("stray"));
     run.socket.send(signedResponse("b", "second"));
-    CHECK(bench.until([&] { return caller.has("second"); }));
-    CHECK(bench.log.count(GatewayEvent::AnswerDiscarded) == 1);
+    CHECK(fixture.runUntil([&] { return caller.has("second"); }));
+    CHECK(fixture.log.count(GatewayEvent::AnswerDiscarded) == 1);
 }
 
 TEST_CASE("bytes after a complete response close the channel")
 {
     // The target sends a second response directly after the first. Only the first is forwarded, and
     // the channel is closed so that the second can't be taken for the next response.
-    GatewayFixture bench;
-    RecordingConnection &caller = bench.connect();
+    GatewayFixture fixture;
+    RecordingConnection &caller = fixture.connect();
     caller.socket.send(GatewayFixture::request("once", "a"));
-    ScriptedTarget *target = bench.waitForTarget();
+    ScriptedTarget *target = fixture.waitForTarget();
     REQUIRE(target);
     target->connection(0).socket.send(signedResponse("a", "first") + signedResponse("a", "again"));
-    REQUIRE(bench.until([&] { return caller.has("first"); }));
-    CHECK(bench.until([&] { return target->connection(0).end.has_value(); }));
+    REQUIRE(fixture.runUntil([&] { return caller.has("first"); }));
+    CHECK(fixture.runUntil([&] { return target->connection(0).end.has_value(); }));
     CHECK_FALSE(caller.has("again"));
 }
 
@@ -98,71 +98,71 @@
 {
     // The early response is forwarded. The target would read the next request on this channel as
     // the rest of the body, so the channel must not be reused.
-    GatewayFixture bench;
-    bench.gateway.setConfiguration([] {
+    GatewayFixture fixture;
+    fixture.gateway.setConfiguration([] {
         ServingConfiguration configuration = GatewayFixture::configuration();
         configuration.limits.bodyBytes = 64 << 20;
         return std::make_shared<const RouteTable>(configuration);
     }());
-    RecordingConnection &caller = bench.connect();
-    bench.runPendingEvents();
-    bench.target(0).connections.clear();
+    RecordingConnection &caller = fixture.connect();
+    fixture.runPendingEvents();
+    fixture.target(0).connections.clear();
     caller.socket.send(GatewayFixture::request("once", "a", std::string(32 << 20, 'x')));
-    REQUIRE(bench.until([&] { return bench.target(0).connections.size() == 1; }));
-    RecordingConnection &run = bench.target(0).connection(0);
+    REQUIRE(fixture.runUntil([&] { return fixture.target(0).connections.size() == 1; }));
+    RecordingConnection &run = fixture.target(0).connection(0);
     run.socket.setReading(false);
     run.socket.send(signedResponse("a", "early"));
-    REQUIRE(bench.until([&] { return caller.has("early"); }));
+    REQUIRE(fixture.runUntil([&] { return caller.has("early"); }));
     caller.socket.send(GatewayFixture::request("once", "b"));
-    REQUIRE(bench.until([&] { return bench.target(0).connections.size() == 2; }));
-    CHECK(bench.until([&] { return bench.target(0).connection(1).has("Id: b\r\n"); }));
+    REQUIRE(fixture.runUntil([&] { return fixture.target(0).connections.size() == 2; }));
+    CHECK(fixture.runUntil([&] { return fixture.target(0).connection(1).has("Id: b\r\n"); }));
 }
 
 TEST_CASE("a request that is not idempotent is not retried after a reset")
 {
     // The target reads the complete request and resets the connection. It is unknown whether the
     // request ran, so the caller gets 502.
-    GatewayFixture bench(2);
-    RecordingConnection &caller = bench.connect();
+    GatewayFixture fixture(2);
+    RecordingConnection &caller = fixture.connect();
     caller.socket.send(GatewayFixture::request("once", "a"));
-    ScriptedTarget *target = bench.waitForTarget();
+    ScriptedTarget *target = fixture.waitForTarget();
     REQUIRE(target);
     target->connection(0).socket.abort();
-    REQUIRE(bench.until([&] { return caller.has("\r\n\r\n"); }));
+    REQUIRE(fixture.runUntil([&] { return caller.has("\r\n\r\n"); }));
     CHECK(caller.has("HTTP/1.1 502 "));
-    CHECK(bench.target(0).requests() + bench.target(1).requests() == 1);
+    CHECK(fixture.target(0).requests() + fixture.target(1).requests() == 1);
 }
 
 TEST_CASE("an idempotent request is retried on another target after a reset")
 {
-    GatewayFixture bench(2);
-    RecordingConnection &caller = bench.connect();
+    GatewayFixture fixture(2);
+    RecordingConnection &caller = fixture.connect();
     caller.socket.send(GatewayFixture::request("idempotent", "a"));
-    ScriptedTarget *first = bench.waitForTarget();
+    ScriptedTarget *first = fixture.waitForTarget();
     REQUIRE(first);
-    ScriptedTarget &second = bench.target(first == &bench.target(0) ? 1 : 0);
+    ScriptedTarget &second = fixture.target(first == &fixture.target(0) ? 1 : 0);
     first->connection(0).socket.abort();
-    REQUIRE(bench.until([&] { return second.requests() == 1; }));
+    REQUIRE(fixture.runUntil([&] { return second.requests() == 1; }));
     second.connection(0).socket.send(signedResponse("a", "tile"));
-    CHECK(bench.until([&] { return caller.has("tile"); }));
+    CHECK(fixture.runUntil([&] { return caller.has("tile"); }));
 }
 
 TEST_CASE("a request that every target refuses is rejected as not run")
 {
     // Both targets state that they had no free slot and didn't run the request, so even a request
     // that is not idempotent is sent to the second one. The caller gets 503 with a Retry-After.
-    GatewayFixture bench(2);
-    RecordingConnection &caller = bench.connect();
+    GatewayFixture fixture(2);
+    RecordingConnection &caller = fixture.connect();
     caller.socket.send(GatewayFixture::request("once", "a"));
     const std::string full
         = "HTTP/1.1 503 Full\r\nId: a\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n";
-    ScriptedTarget *first = bench.waitForTarget();
+    ScriptedTarget *first = fixture.waitForTarget();
     REQUIRE(first);
-    ScriptedTarget &second = bench.target(first == &bench.target(0) ? 1 : 0);
+    ScriptedTarget &second = fixture.target(first == &fixture.target(0) ? 1 : 0);
     first->connection(0).socket.send(full);
-    REQUIRE(bench.until([&] { return second.requests() == 1; }));
+    REQUIRE(fixture.runUntil([&] { return second.requests() == 1; }));
     second.connection(0).socket.send(full);
-    REQUIRE(bench.until([&] { return caller.has("\r\n\r\n"); }));
+    REQUIRE(fixture.runUntil([&] { return caller.has("\r\n\r\n"); }));
     CHECK(caller.has("HTTP/1.1 503 "));
     CHECK(caller.has("Retry-After: "));
 }
@@ -171,42 +171,42 @@
 {
     // The first target has ended and another service reuses its address. That service responds with
     // 421 and doesn't run the request, so the request is sent to the other target.
-    GatewayFixture bench(2);
-    RecordingConnection &caller = bench.connect();
+    GatewayFixture fixture(2);
+    RecordingConnection &caller = fixture.connect();
     caller.socket.send(GatewayFixture::request("once", "a"));
-    ScriptedTarget *first = bench.waitForTarget();
+    ScriptedTarget *first = fixture.waitForTarget();
     REQUIRE(first);
-    ScriptedTarget &second = bench.target(first == &bench.target(0) ? 1 : 0);
+    ScriptedTarget &second = fixture.target(first == &fixture.target(0) ? 1 : 0);
     first->connection(0).socket.send("HTTP/1.1 421 Other\r\nContent-Length: 0\r\n\r\n");
-    REQUIRE(bench.until([&] { return second.requests() == 1; }));
+    REQUIRE(fixture.runUntil([&] { return second.requests() == 1; }));
     second.connection(0).socket.send(signedResponse("a", "right"));
-    CHECK(bench.until([&] { return caller.has("right"); }));
+    CHECK(fixture.runUntil([&] { return caller.has("right"); }));
 }
 
 TEST_CASE("an unsigned success response is not forwarded")
 {
     // A 200 without the target's signature may come from another process at the address. The caller
     // gets 502: the request may have run.
-    GatewayFixture bench;
-    RecordingConnection &caller = bench.connect();
+    GatewayFixture fixture;
+    RecordingConnection &caller = fixture.connect();
     caller.socket.send(GatewayFixture::request("once", "a"));
-    ScriptedTarget *target = bench.waitForTarget();
+    ScriptedTarget *target = fixture.waitForTarget();
     REQUIRE(target);
     target->connection(0).socket.send("HTTP/1.1 200 OK\r\nId: a\r\nContent-Length: 4\r\n\r\nfake");
-    REQUIRE(bench.until([&] { return caller.has("\r\n\r\n"); }));
+    REQUIRE(fixture.runUntil([&] { return caller.has("\r\n\r\n"); }));
     CHECK(caller.has("HTTP/1.1 502 "));
     CHECK_FALSE(caller.has("fake"));
 }
 
 TEST_CASE("a malformed response fails the request")
 {
-    GatewayFixture bench;
-    RecordingConnection &caller = bench.connect();
+    GatewayFixture fixture;
+    RecordingConnection &caller = fixture.connect();
     caller.socket.send(GatewayFixture::request("once", "a"));
-    ScriptedTarget *target = bench.waitForTarget();
+    ScriptedTarget *target = fixture.waitForTarget();
     REQUIRE(target);
     target->connection(0).socket.send("\x01\x02 nonsense\r\n\r\n");
-    REQUIRE(bench.until([&] { return caller.has("\r\n\r\n"); }));
+    REQUIRE(fixture.runUntil([&] { return caller.has("\r\n\r\n"); }));
     CHECK(caller.has("HTTP/1.1 502 "));
 }
 
@@ -214,31 +214,31 @@
 {
     // The target reads the request and doesn't respond. The request must not be retried; the caller
     // gets 504 at the timeout: the request may have run.
-    GatewayFixture bench(2);
-    RecordingConnection &caller = bench.connect();
+    GatewayFixture fixture(2);
+    RecordingConnection &caller = fixture.connect();
     caller.socket.send(GatewayFixture::request("once", "a"));
-    ScriptedTarget *target = bench.waitForTarget();
+    ScriptedTarget *target = fixture.waitForTarget();
     REQUIRE(target);
-    bench.clock.advance(std::chrono::milliseconds(10'100));
-    REQUIRE(bench.until([&] { return caller.has("\r\n\r\n"); }));
+    fixture.clock.advance(std::chrono::milliseconds(10'100));
+    REQUIRE(fixture.runUntil([&] { return caller.has("\r\n\r\n"); }));
     CHECK(caller.has("HTTP/1.1 504 "));
-    CHECK(bench.until([&] { return target->connection(0).end.has_value(); }));
-    CHECK(bench.target(0).requests() + bench.target(1).requests() == 1);
+    CHECK(fixture.runUntil([&] { return target->connection(0).end.has_value(); }));
+    CHECK(fixture.target(0).requests() + fixture.target(1).requests() == 1);
 }
 
 TEST_CASE("an idempotent request is retried if its target does not respond")
 {
     // The first target reads the request and sends nothing, without a reset. The caller gets the
     // response of the second target.
-    GatewayFixture bench(2);
-    RecordingConnection &caller = bench.connect();
+    GatewayFixture fixture(2);
+    RecordingConnection &caller = fixture.connect();
     caller.socket.send(GatewayFixture::request("idempotent", "a"));
-    ScriptedTarget *first = bench.waitForTarget();
+    ScriptedTarget *first = fixture.waitForTarget();
     REQUIRE(first);
-    ScriptedTarget &second = bench.target(first == &bench.target(0) ? 1 : 0);
-    bench.clock.advance(std::chrono::seconds(2));
-    REQUIRE(bench.until([&] { return second.requests() == 1; }));
+    ScriptedTarget &second = fixture.target(first == &fixture.target(0) ? 1 : 0);
+    fixture.clock.advance(std::chrono::seconds(2));
+    REQUIRE(fixture.runUntil([&] { return second.requests() == 1; }));
     second.connection(0).socket.send(signedResponse("a", "tile"));
-    CHECK(bench.until([&] { return caller.has("tile"); }));
+    CHECK(fixture.runUntil([&] { return caller.has("tile"); }));
     CHECK(first->connection(0).end.has_value());
 }
--- a/packages/gateway/tests/apricothook_gateway_stream_tests.cpp
+++ b/packages/gateway/tests/apricothook_gateway_stream_tests.cpp
@@ -17,40 +17,40 @@
 
 TEST_CASE("a stream is forwarded event by event")
 {
-    GatewayFixture bench;
-    RecordingConnection &caller = bench.connect();
+    GatewayFixture fixture;
+    RecordingConnection &caller = fixture.connect();
     caller.socket.send(GatewayFixture::request("stream", "a"));
-    ScriptedTarget *target = bench.waitForTarget();
+    ScriptedTarget *target = fixture.waitForTarget();
     REQUIRE(target);
     RecordingConnection &run = target->connection(0);
 
     run.socket.send(streamHead("a") + eventChunk(1));
-    CHECK(bench.until([&] { return caller.has("id: 1\n"); }));
+    CHECK(fixture.runUntil([&] { return caller.has("id: 1\n"); }));
     CHECK_FALSE(endsComplete(caller));
     run.socket.send(eventChunk(2) + std::string(LastChunk));
-    CHECK(bench.until([&] { return endsComplete(caller); }));
+    CHECK(fixture.runUntil([&] { return endsComplete(caller); }));
     CHECK(caller.has("id: 2\n"));
-    CHECK(bench.log.count(GatewayEvent::RequestAnswered) == 1);
+    CHECK(fixture.log.count(GatewayEvent::RequestAnswered) == 1);
 }
 
 TEST_CASE("a resumable stream is resumed on another target within the same response")
 {
     // The first target sends one and a half events and resets the connection. The second is asked
     // to resume after the last complete event, so the caller receives each event once.
-    GatewayFixture bench(2);
-    RecordingConnection &caller = bench.connect();
+    GatewayFixture fixture(2);
+    RecordingConnection &caller = fixture.connect();
     caller.socket.send(GatewayFixture::request("resumable", "a"));
-    ScriptedTarget *first = bench.waitForTarget();
+    ScriptedTarget *first = fixture.waitForTarget();
     REQUIRE(first);
-    ScriptedTarget &second = bench.target(first == &bench.target(0) ? 1 : 0);
+    ScriptedTarget &second = fixture.target(first == &fixture.target(0) ? 1 : 0);
 
     first->connection(0).socket.send(streamHead("a") + eventChunk(1) + writeChunk("id: 2\nda"));
-    REQUIRE(bench.until([&] { return caller.has("id: 1\n"); }));
+    REQUIRE(fixture.runUntil([&] { return caller.has("id: 1\n"); }));
     first->connection(0).socket.abort();
-    REQUIRE(bench.until([&] { return second.requests() == 1; }));
+    REQUIRE(fixture.runUntil([&] { return second.requests() == 1; }));
     CHECK(second.connection(0).has("Last: 1\r\n"));
     second.connection(0).socket.send(streamHead("a") + eventChunk(2) + std::string(LastChunk));
-    REQUIRE(bench.until([&] { return endsComplete(caller); }));
+    REQUIRE(fixture.runUntil([&] { return endsComplete(caller); }));
     CHECK(caller.received.find("id: 2\n") == caller.received.rfind("id: 2\n"));
 }
 
@@ -59,74 +59,74 @@
     // The first target resets the connection after an event, and the one that should resume the
     // stream responds with an error. The error's body must not be appended to the stream, and the
     // caller's connection must end without the last chunk.
-    GatewayFixture bench(2);
-    RecordingConnection &caller = bench.connect();
+    GatewayFixture fixture(2);
+    RecordingConnection &caller = fixture.connect();
     caller.socket.send(GatewayFixture::request("resumable", "a"));
-    ScriptedTarget *first = bench.waitForTarget();
+    ScriptedTarget *first = fixture.waitForTarget();
     REQUIRE(first);
-    ScriptedTarget &second = bench.target(first == &bench.target(0) ? 1 : 0);
+    ScriptedTarget &second = fixture.target(first == &fixture.target(0) ? 1 : 0);
 
     first->connection(0).socket.send(streamHead("a") + eventChunk(1));
-    REQUIRE(bench.until([&] { return caller.has("id: 1\n"); }));
+    REQUIRE(fixture.runUntil([&] { return caller.has("id: 1\n"); }));
     first->connection(0).socket.abort();
-    REQUIRE(bench.until([&] { return second.requests() == 1; }));
+    REQUIRE(fixture.runUntil([&] { return second.requests() == 1; }));
     second.connection(0).socket.send(
         "HTTP/1.1 500 Oops\r\nId: a\r\nSigned: yes\r\nContent-Length: 4\r\n\r\nfail");
-    REQUIRE(bench.until([&] { return caller.end.has_value(); }));
+    REQUIRE(fixture.runUntil([&] { return caller.end.has_value(); }));
     CHECK_FALSE(endsComplete(caller));
     CHECK_FALSE(caller.has("fail"));
-    CHECK(bench.log.count(GatewayEvent::RequestFailed) == 1);
+    CHECK(fixture.log.count(GatewayEvent::RequestFailed) == 1);
 }
 
 TEST_CASE("a stream that is not resumable is aborted when its target fails")
 {
     // The request has run and must not run again, so there is no retry. The caller's connection
     // ends without the last chunk.
-    GatewayFixture bench(2);
-    RecordingConnection &caller = bench.connect();
+    GatewayFixture fixture(2);
+    RecordingConnection &caller = fixture.connect();
     caller.socket.send(GatewayFixture::request("stream", "a"));
-    ScriptedTarget *target = bench.waitForTarget();
+    ScriptedTarget *target = fixture.waitForTarget();
     REQUIRE(target);
     target->connection(0).socket.send(streamHead("a") + eventChunk(1));
-    REQUIRE(bench.until([&] { return caller.has("id: 1\n"); }));
+    REQUIRE(fixture.runUntil([&] { return caller.has("id: 1\n"); }));
     target->connection(0).socket.abort();
-    REQUIRE(bench.until([&] { return caller.end.has_value(); }));
+    REQUIRE(fixture.runUntil([&] { return caller.end.has_value(); }));
     CHECK_FALSE(endsComplete(caller));
-    CHECK(bench.target(0).requests() + bench.target(1).requests() == 1);
+    CHECK(fixture.target(0).requests() + fixture.target(1).requests() == 1);
 }
 
 TEST_CASE("a stalled stream is resumed on another target")
 {
     // The first target's connection stays open but sends nothing more. After the stall timeout the
     // first attempt is cancelled and another target resumes the stream.
-    GatewayFixture bench(2);
-    RecordingConnection &caller = bench.connect();
+    GatewayFixture fixture(2);
+    RecordingConnection &caller = fixture.connect();
     caller.socket.send(GatewayFixture::request("resumable", "a"));
-    ScriptedTarget *first = bench.waitForTarget();
+    ScriptedTarget *first = fixture.waitForTarget();
     REQUIRE(first);
-    ScriptedTarget &second = bench.target(first == &bench.target(0) ? 1 : 0);
+    ScriptedTarget &second = fixture.target(first == &fixture.target(0) ? 1 : 0);
     first->connection(0).socket.send(streamHead("a") + eventChunk(1));
-    REQUIRE(bench.until([&] { return caller.has("id: 1\n"); }));
+    REQUIRE(fixture.runUntil([&] { return caller.has("id: 1\n"); }));
 
-    bench.clock.advance(std::chrono::milliseconds(1300));
-    REQUIRE(bench.until([&] { return second.requests() == 1; }));
-    CHECK(bench.until([&] { return first->connection(0).end.has_value(); }));
+    fixture.clock.advance(std::chrono::milliseconds(1300));
+    REQUIRE(fixture.runUntil([&] { return second.requests() == 1; }));
+    CHECK(fixture.runUntil([&] { return first->connection(0).end.has_value(); }));
     second.connection(0).socket.send(streamHead("a") + eventChunk(2) + std::string(LastChunk));
-    CHECK(bench.until([&] { return endsComplete(caller); }));
+    CHECK(fixture.runUntil([&] { return endsComplete(caller); }));
 }
 
 TEST_CASE("a request is cancelled at its target when the caller disconnects")
 {
     // The caller disconnects before the target has sent anything. The connection to the target is
     // closed at once, so that the target stops working on the request.
-    GatewayFixture bench;
-    RecordingConnection &caller = bench.connect();
+    GatewayFixture fixture;
+    RecordingConnection &caller = fixture.connect();
     caller.socket.send(GatewayFixture::request("stream", "a"));
-    ScriptedTarget *target = bench.waitForTarget();
+    ScriptedTarget *target = fixture.waitForTarget();
     REQUIRE(target);
     caller.socket.abort();
-    CHECK(bench.until([&] { return target->connection(0).end.has_value(); }));
-    CHECK(bench.log.count(GatewayEvent::CallerGone) == 1);
+    CHECK(fixture.runUntil([&] { return target->connection(0).end.has_value(); }));
+    CHECK(fixture.log.count(GatewayEvent::CallerGone) == 1);
 }
 
 TEST_CASE("a request at a target that has restarted fails at once")
@@ -135,23 +135,23 @@
     // check the callers would wait for their deadline. The new instance is known from the target's
     // entry. A stream that must not run twice fails with 502; an idempotent request is sent to the
     // new instance.
-    GatewayFixture bench;
-    RecordingConnection &once = bench.connect();
+    GatewayFixture fixture;
+    RecordingConnection &once = fixture.connect();
     once.socket.send(GatewayFixture::request("stream", "a"));
-    REQUIRE(bench.waitForTarget());
-    RecordingConnection &repeatable = bench.connect();
+    REQUIRE(fixture.waitForTarget());
+    RecordingConnection &repeatable = fixture.connect();
     repeatable.socket.send(GatewayFixture::request("idempotent", "b"));
-    ScriptedTarget *target = bench.waitForTarget(2);
+    ScriptedTarget *target = fixture.waitForTarget(2);
     REQUIRE(target);
 
-    TargetEntry entry = bench.gateway.targets().find(TargetId("t0"))->entry;
+    TargetEntry entry = fixture.gateway.targets().find(TargetId("t0"))->entry;
     entry.startedAt = 1000;
-    bench.gateway.putTarget(entry);
-    CHECK(bench.until([&] { return once.has("HTTP/1.1 502"); }));
-    REQUIRE(bench.until([&] { return target->requests() == 3; }));
+    fixture.gateway.putTarget(entry);
+    CHECK(fixture.runUntil([&] { return once.has("HTTP/1.1 502"); }));
+    REQUIRE(fixture.runUntil([&] { return target->requests() == 3; }));
     RecordingConnection &fresh = *target->connections.back();
     CHECK(fresh.has("Id: b\r\n"));
     fresh.socket.send(signedResponse("b", "whole"));
-    CHECK(bench.until([&] { return repeatable.has("whole"); }));
-    CHECK(bench.gateway.targets().find(TargetId("t0"))->failuresInRow == 0);
+    CHECK(fixture.runUntil([&] { return repeatable.has("whole"); }));
+    CHECK(fixture.gateway.targets().find(TargetId("t0"))->failuresInRow == 0);
 }
--- a/packages/gateway/tests/apricothook_test_protocol.cpp
+++ b/packages/gateway/tests/apricothook_test_protocol.cpp
@@ -42,12 +42,12 @@
 
 TargetResponseFields TestProtocol::targetResponse(const ResponseHead &head) const
 {
-    TargetResponseFields verdict;
-    verdict.requestId = RequestKey(valueOf(head.headers, "Id"));
-    verdict.isNotRun = head.headers.find("Not-Run").has_value();
-    verdict.isMisdirected = head.status == 421;
-    verdict.isSigned = head.headers.find("Signed").has_value();
-    return verdict;
+    TargetResponseFields fields;
+    fields.requestId = RequestKey(valueOf(head.headers, "Id"));
+    fields.isNotRun = head.headers.find("Not-Run").has_value();
+    fields.isMisdirected = head.status == 421;
+    fields.isSigned = head.headers.find("Signed").has_value();
+    return fields;
 }
 
 ResponseHead TestProtocol::callerResponse(const ResponseHead &fromTarget) const
