--- a/packages/eventloop/apricothook/eventloop/apricothook_datagram_socket.hpp
+++ b/packages/eventloop/apricothook/eventloop/apricothook_datagram_socket.hpp
@@ -10,27 +10,27 @@
 class DatagramSocket : private DescriptorEvents
 {
 public:
-    /** Largest datagram that is read; anything longer is cut and fails to parse. */
-    static constexpr std::size_t LargestBytes = 8192;
-    using Received = std::function<void(std::string_view bytes)>;
+    /** Receive buffer size; a longer datagram is truncated and fails to parse. */
+    static constexpr std::size_t MaxDatagramBytes = 8192;
+    using ReceiveHandler = std::function<void(std::string_view bytes)>;
 
     static Result<std::unique_ptr<DatagramSocket>, ListenError>
-    open(EventLoop &loop, const Endpoint &address, Received received);
+    open(EventLoop &loop, const Endpoint &address, ReceiveHandler received);
     ~DatagramSocket() override;
     DatagramSocket(const DatagramSocket &) = delete;
     DatagramSocket &operator=(const DatagramSocket &) = delete;
 
-    /** A datagram that the kernel doesn't take is lost, as one on the way may be. */
+    /** Drops the datagram if the kernel doesn't accept it; UDP may lose it anyway. */
     void send(const Endpoint &to, std::string_view bytes);
 
 private:
-    DatagramSocket(EventLoop &loop, int descriptor, Received received);
+    DatagramSocket(EventLoop &loop, int descriptor, ReceiveHandler received);
     void onReadable() override;
     void onWritable() override { }
 
     EventLoop &m_loop;
     const int m_descriptor;
-    Received m_received;
+    ReceiveHandler m_receiveHandler;
 };
 
 } // namespace Apricothook
--- a/packages/eventloop/apricothook/eventloop/apricothook_listener.cpp
+++ b/packages/eventloop/apricothook/eventloop/apricothook_listener.cpp
@@ -12,13 +12,16 @@
 
 namespace {
 
-/** Callers of a whole site may come at once after a restart; a full queue costs them seconds. */
-constexpr int WaitingConnections = 1024;
+/**
+ * After a restart all callers of a site may connect at once; with a full backlog they would lose
+ * seconds to SYN retransmission.
+ */
+constexpr int ListenBacklog = 1024;
 
 } // namespace
 
 Result<std::unique_ptr<Listener>, ListenError>
-Listener::open(EventLoop &loop, const Endpoint &address, Accepted accepted)
+Listener::open(EventLoop &loop, const Endpoint &address, AcceptHandler accepted)
 {
     const std::optional<sockaddr_storage> bound = socketAddressOf(address);
     if (!bound)
@@ -29,7 +32,7 @@
     const int reuse = 1;
     static_cast<void>(setsockopt(descriptor, SOL_SOCKET, SO_REUSEADDR, &reuse, sizeof reuse));
     if (bind(descriptor, reinterpret_cast<const sockaddr *>(&*bound), sizeof(sockaddr_in)) < 0
-        || listen(descriptor, WaitingConnections) < 0) {
+        || listen(descriptor, ListenBacklog) < 0) {
         const ListenError error {address, errno};
         ::close(descriptor);
         return error;
@@ -37,8 +40,8 @@
     return std::unique_ptr<Listener>(new Listener(loop, descriptor, std::move(accepted)));
 }
 
-Listener::Listener(EventLoop &loop, int descriptor, Accepted accepted)
-    : m_loop(loop), m_descriptor(descriptor), m_accepted(std::move(accepted))
+Listener::Listener(EventLoop &loop, int descriptor, AcceptHandler accepted)
+    : m_loop(loop), m_descriptor(descriptor), m_acceptHandler(std::move(accepted))
 {
     m_loop.watch(m_descriptor, *this);
 }
@@ -59,10 +62,10 @@
 
 void Listener::onReadable()
 {
-    // One connection a round: a herd must not hold up the requests that are under way.
+    // One connection per loop iteration, so that a burst doesn't delay requests in progress.
     const int descriptor = accept4(m_descriptor, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (descriptor >= 0)
-        m_accepted(descriptor);
+        m_acceptHandler(descriptor);
 }
 
 } // namespace Apricothook
--- a/packages/eventloop/apricothook/eventloop/apricothook_listener.hpp
+++ b/packages/eventloop/apricothook/eventloop/apricothook_listener.hpp
@@ -9,35 +9,35 @@
 
 namespace Apricothook {
 
-/** The system's error number of a listening address that can't be opened. */
+/** The errno value from opening a listening address. */
 struct ListenError
 {
     Endpoint address;
     int errorNumber = 0;
 };
 
-/** Accepts connections at an address and hands over their descriptors. */
+/** Accepts TCP connections at an address and passes on their descriptors. */
 class Listener : private DescriptorEvents
 {
 public:
-    using Accepted = std::function<void(int descriptor)>;
+    using AcceptHandler = std::function<void(int descriptor)>;
 
     static Result<std::unique_ptr<Listener>, ListenError>
-    open(EventLoop &loop, const Endpoint &address, Accepted accepted);
+    open(EventLoop &loop, const Endpoint &address, AcceptHandler accepted);
     ~Listener() override;
-    /** The port that the system chose where the address named none. */
+    /** The bound port; chosen by the system if the address has port zero. */
     std::uint16_t port() const;
     Listener(const Listener &) = delete;
     Listener &operator=(const Listener &) = delete;
 
 private:
-    Listener(EventLoop &loop, int descriptor, Accepted accepted);
+    Listener(EventLoop &loop, int descriptor, AcceptHandler accepted);
     void onReadable() override;
     void onWritable() override { }
 
     EventLoop &m_loop;
     const int m_descriptor;
-    Accepted m_accepted;
+    AcceptHandler m_acceptHandler;
 };
 
 } // namespace Apricothook
--- a/packages/gateway/apricothook/gateway/apricothook_channel_pool.cpp
+++ b/packages/gateway/apricothook/gateway/apricothook_channel_pool.cpp
@@ -8,54 +8,55 @@
 
 namespace {
 
-constexpr std::chrono::seconds SweepPause {1};
+constexpr std::chrono::seconds SweepInterval {1};
 
 } // namespace
 
-ChannelPool::ChannelPool(EventLoop &loop, const WireProtocol &dialect, LogWriter &log)
-    : m_loop(loop), m_dialect(dialect), m_log(log)
+ChannelPool::ChannelPool(EventLoop &loop, const WireProtocol &protocol, LogWriter &log)
+    : m_loop(loop), m_protocol(protocol), m_log(log)
 {
     scheduleSweep();
 }
 
 ChannelPool::~ChannelPool()
 {
-    m_loop.cancel(m_sweep);
+    m_loop.cancel(m_sweepTimer);
 }
 
 void ChannelPool::scheduleSweep()
 {
-    m_sweep = m_loop.after(SweepPause, [this] {
-        closeOld();
+    m_sweepTimer = m_loop.after(SweepInterval, [this] {
+        closeExpired();
         scheduleSweep();
     });
 }
 
-bool ChannelPool::isUsable(const TargetChannel &channel, bool mayRunAgain) const
+bool ChannelPool::isUsable(const TargetChannel &channel, bool isRetryable) const
 {
     const Duration idle = m_loop.now() - channel.idleSince();
-    Duration limit = mayRunAgain ? Duration(IdleLimit) : Duration(FreshLimit);
-    if (channel.kept())
-        limit
-            = std::min(limit, std::chrono::duration_cast<Duration>(*channel.kept() * TrustedPart));
+    Duration limit = isRetryable ? Duration(IdleLimit) : Duration(NonRetryableIdleLimit);
+    if (channel.keepAliveTimeout())
+        limit = std::min(
+            limit,
+            std::chrono::duration_cast<Duration>(*channel.keepAliveTimeout() * KeepAliveFraction));
     return idle < limit;
 }
 
-TargetChannel &ChannelPool::acquire(const TargetEntry &target, bool mayRunAgain)
+TargetChannel &ChannelPool::acquire(const TargetEntry &target, bool isRetryable)
 {
     std::vector<TargetChannel *> &idle = m_idle[target.id];
     if (!idle.empty() && idle.back()->target().instance() == target.instance()
-        && idle.back()->target().address == target.address && isUsable(*idle.back(), mayRunAgain)) {
+        && idle.back()->target().address == target.address && isUsable(*idle.back(), isRetryable)) {
         TargetChannel &channel = *idle.back();
         idle.pop_back();
         return channel;
     }
     TargetChannelOwner &owner = *this;
-    m_channels.push_back(std::make_unique<TargetChannel>(m_loop, m_dialect, owner, target));
+    m_channels.push_back(std::make_unique<TargetChannel>(m_loop, m_protocol, owner, target));
     return *m_channels.back();
 }
 
-void ChannelPool::forget(const TargetId &target)
+void ChannelPool::closeIdle(const TargetId &target)
 {
     const auto found = m_idle.find(target);
     if (found == m_idle.end())
@@ -66,7 +67,7 @@
         channel->close();
 }
 
-void ChannelPool::closeOld()
+void ChannelPool::closeExpired()
 {
     std::vector<TargetChannel *> old;
     for (const auto &[target, idle] : m_idle) {
@@ -94,12 +95,12 @@
         = std::ranges::find(m_channels, &channel, &std::unique_ptr<TargetChannel>::get);
     if (found == m_channels.end())
         return;
-    // The channel is in the middle of one of its own calls; it goes when that is over.
+    // Called from a member function of the channel, so it is destroyed after the event.
     m_loop.defer([gone = std::shared_ptr<TargetChannel>(std::move(*found))] {});
     m_channels.erase(found);
 }
 
-void ChannelPool::onStrayAnswer(const TargetChannel &channel)
+void ChannelPool::onUnexpectedResponse(const TargetChannel &channel)
 {
     m_log.write(LogEvent(GatewayEvent::AnswerDiscarded).with("target", channel.target().id.text()));
 }
--- a/packages/gateway/apricothook/gateway/apricothook_event_stream_scanner.cpp
+++ b/packages/gateway/apricothook/gateway/apricothook_event_stream_scanner.cpp
@@ -32,11 +32,11 @@
 
 } // namespace
 
-WholeEvents EventStreamScanner::take(std::string_view bytes)
+CompleteEvents EventStreamScanner::feed(std::string_view bytes)
 {
-    m_rest.append(bytes);
-    WholeEvents whole;
-    std::string_view left = m_rest;
+    m_buffer.append(bytes);
+    CompleteEvents complete;
+    std::string_view left = m_buffer;
     std::size_t end = 0;
     std::optional<std::uint64_t> id;
     while (left.find('\n') != std::string_view::npos) {
@@ -46,13 +46,13 @@
             id = read ? read : id;
             continue;
         }
-        end = m_rest.size() - left.size();
-        ++whole.count;
-        whole.lastId = id ? id : whole.lastId;
+        end = m_buffer.size() - left.size();
+        ++complete.count;
+        complete.lastId = id ? id : complete.lastId;
     }
-    whole.bytes = m_rest.substr(0, end);
-    m_rest.erase(0, end);
-    return whole;
+    complete.bytes = m_buffer.substr(0, end);
+    m_buffer.erase(0, end);
+    return complete;
 }
 
 } // namespace Apricothook
--- a/packages/gateway/apricothook/gateway/apricothook_forwarded_answer.cpp
+++ b/packages/gateway/apricothook/gateway/apricothook_forwarded_answer.cpp
@@ -7,21 +7,21 @@
 #include <algorithm>
 #include <utility>
 
-// The way of a target's answer to the caller; the request's own way is in
+// ForwardedRequest: relays the target's response. The request is handled in
 // apricothook_forwarded_request.cpp.
 
 namespace Apricothook {
 
 namespace {
 
-/** Body of a plain answer that is kept whole, so that a broken one can be replaced. */
-constexpr std::size_t MostKeptBody = 1 << 20;
-/** Bytes that a slow caller may be behind before its target is no longer read. */
-constexpr std::size_t MostUnsentBytes = 1 << 18;
-/** Shortest silence within a stream after which another target goes on. */
-constexpr std::chrono::milliseconds ShortestStall {1000};
-/** The same in pauses that are still on time. */
-constexpr int StallFactor = 4;
+/** Largest response body that is buffered completely, so that a failed attempt can be retried. */
+constexpr std::size_t MaxBufferedBody = 1 << 20;
+/** Unsent bytes to a slow caller above which its target's connection is no longer read. */
+constexpr std::size_t MaxUnsentBytes = 1 << 18;
+/** Shortest gap between stream events after which another target resumes the stream. */
+constexpr std::chrono::milliseconds ShortestStallTimeout {1000};
+/** The same gap as a multiple of the route's objective for event gaps. */
+constexpr int StallTimeoutFactor = 4;
 
 TargetOutcome outcomeOf(ChannelFailure failure)
 {
@@ -36,62 +36,62 @@
     return m_admitted.route->isStream && m_attempt && m_attempt->head.status == HttpStatus::Ok;
 }
 
-void ForwardedRequest::onAnswerHead(const ResponseHead &head, const TargetResponseFields &verdict)
+void ForwardedRequest::onResponseHead(const ResponseHead &head, const TargetResponseFields &fields)
 {
     m_attempt->hasHead = true;
     m_attempt->head = head;
-    if (verdict.isMisdirected || verdict.isNotRun) {
+    if (fields.isMisdirected || fields.isNotRun) {
         m_attempt->isNotRun = true;
         return;
     }
-    // An error's body and end would be taken for those of the stream that it should go on with.
+    // The caller would take the error's body and end for a part of the stream to be resumed.
     if (m_progress != Progress::Nothing && head.status != HttpStatus::Ok) {
         m_attempt->channel->cancel();
         m_mayHaveRun = true;
-        attemptFailed(TargetOutcome::Failed, "not-resumed");
+        onAttemptFailed(TargetOutcome::Failed, "not-resumed");
         return;
     }
     const bool isSuccess = head.status >= HttpStatus::Ok && head.status < HttpStatus::FirstRedirect;
-    if (isSuccess && (!verdict.isSigned || head.headers.find("Content-Encoding"))) {
+    if (isSuccess && (!fields.isSigned || head.headers.find("Content-Encoding"))) {
         m_attempt->channel->cancel();
         m_mayHaveRun = true;
-        attemptFailed(TargetOutcome::Failed, "unsigned");
+        onAttemptFailed(TargetOutcome::Failed, "unsigned");
     }
 }
 
-void ForwardedRequest::onAnswerBody(std::string_view bytes)
+void ForwardedRequest::onResponseBody(std::string_view bytes)
 {
     if (m_attempt->isNotRun)
         return;
     if (isStreaming()) {
-        passEvents(bytes);
+        forwardEvents(bytes);
         return;
     }
     m_attempt->body.append(bytes);
-    if (m_attempt->body.size() > MostKeptBody)
-        passLargeBody();
+    if (m_attempt->body.size() > MaxBufferedBody)
+        forwardBufferedBody();
 }
 
-void ForwardedRequest::passLargeBody()
+void ForwardedRequest::forwardBufferedBody()
 {
     if (m_progress == Progress::Nothing)
-        passOwnHead({BodyFraming::Kind::Chunked, 0});
+        forwardHead({BodyFraming::Kind::Chunked, 0});
     m_responder.sendBody(std::exchange(m_attempt->body, {}));
-    if (m_responder.unsentBytes() > MostUnsentBytes)
+    if (m_responder.unsentBytes() > MaxUnsentBytes)
         m_attempt->channel->setReading(false);
 }
 
-void ForwardedRequest::passOwnHead(BodyFraming framing)
+void ForwardedRequest::forwardHead(BodyFraming framing)
 {
     m_progress = Progress::Head;
     m_status = m_attempt->head.status;
-    m_firstAnswer = m_context.loop.now();
-    m_responder.sendHead(m_context.dialect.callerResponse(m_attempt->head), framing);
+    m_firstByteTime = m_context.loop.now();
+    m_responder.sendHead(m_context.protocol.callerResponse(m_attempt->head), framing);
 }
 
-void ForwardedRequest::passEvents(std::string_view bytes)
+void ForwardedRequest::forwardEvents(std::string_view bytes)
 {
-    const WholeEvents events = m_scanner.take(bytes);
+    const CompleteEvents events = m_scanner.feed(bytes);
     if (events.count == 0)
         return;
     const Instant now = m_context.loop.now();
@@ -103,65 +103,65 @@
     }
     m_attempt->lastEvent = now;
     if (m_progress == Progress::Nothing)
-        passOwnHead({BodyFraming::Kind::Chunked, 0});
+        forwardHead({BodyFraming::Kind::Chunked, 0});
     m_responder.sendBody(events.bytes);
     m_lastEvent = events.lastId ? events.lastId : m_lastEvent;
-    if (m_responder.unsentBytes() > MostUnsentBytes)
+    if (m_responder.unsentBytes() > MaxUnsentBytes)
         m_attempt->channel->setReading(false);
     if (m_admitted.route->isRetryable())
-        watchSilence(
-            std::max<Duration>(ShortestStall, StallFactor * m_admitted.route->gapObjective));
+        armSilenceTimer(std::max<Duration>(ShortestStallTimeout,
+                                           StallTimeoutFactor * m_admitted.route->gapObjective));
 }
 
-void ForwardedRequest::onAnswerComplete()
+void ForwardedRequest::onResponseComplete()
 {
     if (m_attempt->isNotRun)
-        attemptFailed(TargetOutcome::Full, "not-run");
+        onAttemptFailed(TargetOutcome::Full, "not-run");
     else if (isStreaming())
         completeStream();
     else
-        completePlain();
+        completeNonStream();
 }
 
 void ForwardedRequest::completeStream()
 {
-    if (!m_scanner.rest().empty()) {
+    if (!m_scanner.incompleteEvent().empty()) {
         m_mayHaveRun = true;
-        attemptFailed(TargetOutcome::Failed, "cut-event");
+        onAttemptFailed(TargetOutcome::Failed, "cut-event");
         return;
     }
     if (m_progress == Progress::Nothing)
-        passOwnHead({BodyFraming::Kind::Chunked, 0});
+        forwardHead({BodyFraming::Kind::Chunked, 0});
     endAttempt(TargetOutcome::Served);
-    finish(RequestEnd::Answered);
+    finish(RequestOutcome::Answered);
 }
 
-void ForwardedRequest::completePlain()
+void ForwardedRequest::completeNonStream()
 {
     const bool isFailure = m_attempt->head.status >= HttpStatus::FirstServerError;
     if (isFailure && m_progress == Progress::Nothing) {
         m_mayHaveRun = true;
-        m_failedAnswer = m_attempt;
-        attemptFailed(TargetOutcome::Failed, "error-status");
+        m_failedAttempt = m_attempt;
+        onAttemptFailed(TargetOutcome::Failed, "error-status");
         return;
     }
     if (m_progress == Progress::Nothing)
-        passOwnHead({BodyFraming::Kind::Sized, m_attempt->body.size()});
+        forwardHead({BodyFraming::Kind::Sized, m_attempt->body.size()});
     m_responder.sendBody(m_attempt->body);
     endAttempt(TargetOutcome::Served);
-    finish(RequestEnd::Answered);
+    finish(RequestOutcome::Answered);
 }
 
-void ForwardedRequest::onAnswerFailed(ChannelFailure failure)
+void ForwardedRequest::onResponseFailed(ChannelFailure failure)
 {
     if (m_attempt->isNotRun) {
-        attemptFailed(TargetOutcome::Full, "not-run");
+        onAttemptFailed(TargetOutcome::Full, "not-run");
         return;
     }
     m_mayHaveRun |= failure != ChannelFailure::NotConnected;
     if (failure == ChannelFailure::Broken)
-        m_context.crashes.noteDropped(m_attempt->target, m_fingerprint);
-    attemptFailed(outcomeOf(failure), AttemptFailure::causeOf(failure));
+        m_context.crashDetector.recordDropped(m_attempt->target, m_fingerprint);
+    onAttemptFailed(outcomeOf(failure), AttemptFailure::causeOf(failure));
 }
 
 } // namespace Apricothook
--- a/packages/gateway/apricothook/gateway/apricothook_forwarded_request.cpp
+++ b/packages/gateway/apricothook/gateway/apricothook_forwarded_request.cpp
@@ -15,18 +15,18 @@
 
 namespace {
 
-/** Sends of one request to any target, with those that a target refused. */
-constexpr unsigned MostSends = 4;
-/** A target stops at the deadline itself; its own answer is on its way then. */
-constexpr std::chrono::milliseconds AnswerOnItsWay {60};
-/** Least time left that makes another try worth it. */
-constexpr std::chrono::milliseconds LeastTimeToTry {100};
-/** Times the expected first event after which a target counts as silent. */
-constexpr int SilenceFactor = 3;
-/** Shortest time after which a customer over its limit is asked to come back. */
-constexpr std::chrono::milliseconds LimitPause {100};
-/** After each target refused: they were full a moment ago. */
-constexpr std::chrono::milliseconds UsualRetryAfter {500};
+/** Most sends of one request, including those that a target refused. */
+constexpr unsigned MaxSends = 4;
+/** Targets stop at the deadline themselves; allows for their response to arrive. */
+constexpr std::chrono::milliseconds DeadlineGrace {60};
+/** Without this much time before the deadline a request isn't retried. */
+constexpr std::chrono::milliseconds MinTimeToRetry {100};
+/** Multiple of the expected time to the first event after which a target is unresponsive. */
+constexpr int FirstEventTimeoutFactor = 3;
+/** Smallest Retry-After for a customer that is over its limit. */
+constexpr std::chrono::milliseconds ShortestLimitRetryAfter {100};
+/** Retry-After if every target refused the request for lack of free slots. */
+constexpr std::chrono::milliseconds DefaultRetryAfter {500};
 
 } // namespace
 
@@ -44,7 +44,7 @@
 {
     m_context.loop.cancel(m_deadlineTimer);
     if (m_attempt)
-        m_context.loop.cancel(m_attempt->silence);
+        m_context.loop.cancel(m_attempt->silenceTimer);
 }
 
 void ForwardedRequest::begin()
@@ -53,69 +53,69 @@
     m_lastEvent = m_admitted.fields.lastEventId;
     if (!admitted) {
         const AdmissionRefusal &refusal = admitted.error();
-        answerOwn(refusal.end, refusal.status, refusal.retryAfter);
+        sendLocalResponse(refusal.outcome, refusal.status, refusal.retryAfter);
         return;
     }
     if (m_admitted.deadline <= m_arrived) {
-        answerOwn(RequestEnd::TimedOut, HttpStatus::Unavailable, Duration::zero());
+        sendLocalResponse(RequestOutcome::TimedOut, HttpStatus::Unavailable, Duration::zero());
         return;
     }
     m_fingerprint = fingerprintOf(m_received, m_admitted);
-    if (refuseQuarantined())
+    if (refuseIfQuarantined())
         return;
     m_deadlineTimer = m_context.loop.after(m_admitted.deadline - m_arrived, [this] {
         m_deadlineTimer = 0;
         onDeadline();
     });
-    takeUnits();
+    acquireUnits();
 }
 
-bool ForwardedRequest::refuseQuarantined()
+bool ForwardedRequest::refuseIfQuarantined()
 {
-    const std::optional<Duration> left = m_context.suspects->quarantine(m_fingerprint);
-    if (!left)
+    const std::optional<Duration> remaining = m_context.suspectGuard->quarantine(m_fingerprint);
+    if (!remaining)
         return false;
-    const Duration retryAfter = std::min<Duration>(*left, Dispatcher::LongestRetryAfter);
-    answerOwn(RequestEnd::Quarantined, HttpStatus::Unavailable, retryAfter);
+    const Duration retryAfter = std::min<Duration>(*remaining, Dispatcher::LongestRetryAfter);
+    sendLocalResponse(RequestOutcome::Quarantined, HttpStatus::Unavailable, retryAfter);
     return true;
 }
 
-void ForwardedRequest::takeUnits()
+void ForwardedRequest::acquireUnits()
 {
     if (!m_admitted.customer) {
         start();
         return;
     }
-    const std::optional<LimitDecision> verdict = m_context.limits.take(
-        m_id, *m_admitted.customer, limitClaim(m_context, m_admitted), m_arrived);
-    m_waitsForUnits = !verdict;
-    if (verdict)
-        limitDecided(*verdict);
+    const std::optional<LimitDecision> decision = m_context.limits.take(
+        m_id, *m_admitted.customer, unitDemand(m_context, m_admitted), m_arrived);
+    m_waitsForUnits = !decision;
+    if (decision)
+        onLimitDecided(*decision);
     else
-        m_context.limitAsked();
+        m_context.unitsRequested();
 }
 
 void ForwardedRequest::start()
 {
-    m_context.retriesOf(m_admitted.service).countRequest(m_arrived);
-    noteSize(m_context, m_admitted);
-    offer();
+    m_context.retryBudgetOf(m_admitted.service).countRequest(m_arrived);
+    recordRequestSize(m_context, m_admitted);
+    submit();
 }
 
-void ForwardedRequest::limitDecided(const LimitDecision &verdict)
+void ForwardedRequest::onLimitDecided(const LimitDecision &decision)
 {
     m_waitsForUnits = false;
-    m_limit = verdict;
-    if (verdict.isAdmitted) {
+    m_limitDecision = decision;
+    if (decision.isAdmitted) {
         start();
         return;
     }
-    const Duration retryAfter = std::max<Duration>(verdict.retryAfter, LimitPause);
-    // Without a grantor nobody knows whether the customer is over its limit.
-    if (verdict.source == LimitSource::Nobody)
-        answerOwn(RequestEnd::NoGrantor, HttpStatus::Unavailable, retryAfter);
+    const Duration retryAfter = std::max<Duration>(decision.retryAfter, ShortestLimitRetryAfter);
+    // Without a grantor it is unknown whether the customer is over its limit, so no 429.
+    if (decision.source == LimitSource::Nobody)
+        sendLocalResponse(RequestOutcome::NoGrantor, HttpStatus::Unavailable, retryAfter);
     else
-        answerOwn(RequestEnd::OverLimit, HttpStatus::TooManyRequests, retryAfter);
+        sendLocalResponse(RequestOutcome::OverLimit, HttpStatus::TooManyRequests, retryAfter);
 }
 
 void ForwardedRequest::stopWaiting()
@@ -126,7 +126,7 @@
         m_context.limits.cancel(m_id);
 }
 
-void ForwardedRequest::offer()
+void ForwardedRequest::submit()
 {
     m_waiting = true;
     const bool isFirst = m_sends == 0;
@@ -139,21 +139,21 @@
                                  .arrived = isFirst ? m_arrived : now,
                                  .objective = m_admitted.route->objective,
                                  .deadline = m_admitted.deadline,
-                                 .excluded = m_tried},
+                                 .excluded = m_triedTargets},
                                 now);
 }
 
-void ForwardedRequest::refused(const RefusalDetails &facts)
+void ForwardedRequest::onRefused(const RefusalDetails &facts)
 {
     m_waiting = false;
     m_refusal = facts;
-    if (m_mayHaveRun || m_progress != Progress::Nothing || m_failedAnswer)
-        giveUp();
+    if (m_mayHaveRun || m_progress != Progress::Nothing || m_failedAttempt)
+        failRequest();
     else
-        answerOwn(RequestEnd::NoRoom, HttpStatus::Unavailable, facts.retryAfter);
+        sendLocalResponse(RequestOutcome::NoRoom, HttpStatus::Unavailable, facts.retryAfter);
 }
 
-void ForwardedRequest::placed(const TargetEntry &target)
+void ForwardedRequest::onPlaced(const TargetEntry &target)
 {
     m_waiting = false;
     const Instant now = m_context.loop.now();
@@ -176,23 +176,23 @@
     send(target);
 }
 
-void ForwardedRequest::targetRestarted(const TargetInstance &present)
+void ForwardedRequest::onTargetRestarted(const TargetInstance &current)
 {
-    const bool isLost = m_attempt && m_attempt->target.id == present.id
-        && m_attempt->target.instance() != present;
+    const bool isLost = m_attempt && m_attempt->target.id == current.id
+        && m_attempt->target.instance() != current;
     if (!isLost)
         return;
-    // The former start's connection may stay open and silent; without this its caller would wait
-    // until the deadline for an answer that nobody works on.
+    // The connection to the earlier instance may stay open without traffic; the caller would then
+    // wait until the deadline for a response that is never sent.
     m_attempt->channel->cancel();
     m_mayHaveRun = true;
-    attemptFailed(TargetOutcome::Unreachable, "restarted");
+    onAttemptFailed(TargetOutcome::Unreachable, "restarted");
 }
 
 void ForwardedRequest::send(const TargetEntry &target)
 {
     ++m_sends;
-    m_tried.insert(target.instance());
+    m_triedTargets.insert(target.instance());
     const Instant now = m_context.loop.now();
     const TargetRequestFields fields {
         .timeout = std::max(m_admitted.deadline - now, Duration::zero()),
@@ -200,7 +200,7 @@
         .customer = m_admitted.customer ? m_admitted.customer->name : CustomerId(),
         .lastEventId = m_lastEvent,
     };
-    const RequestHead head = m_context.dialect.targetRequest(m_received.head, fields);
+    const RequestHead head = m_context.protocol.targetRequest(m_received.head, fields);
     const bool hasBody = !m_received.body.empty() || m_received.head.headers.find("Content-Length")
         || m_received.head.headers.find("Transfer-Encoding");
     const BodyFraming framing
@@ -215,36 +215,36 @@
                               writeRequestHead(head, framing) + m_received.body,
                               m_received.head.method == "HEAD", *this);
     if (m_admitted.route->isRetryable())
-        watchSilence(firstEventLimit());
+        armSilenceTimer(firstEventTimeout());
 }
 
-Duration ForwardedRequest::firstEventLimit() const
+Duration ForwardedRequest::firstEventTimeout() const
 {
     const Duration expected
         = m_context.targets.expectedTimeToFirstEvent(m_admitted.service, m_admitted.size);
-    return std::max(m_admitted.route->objective, SilenceFactor * expected);
+    return std::max(m_admitted.route->objective, FirstEventTimeoutFactor * expected);
 }
 
-void ForwardedRequest::watchSilence(Duration limit)
+void ForwardedRequest::armSilenceTimer(Duration limit)
 {
-    m_context.loop.cancel(m_attempt->silence);
-    m_attempt->silence = m_context.loop.after(limit, [this, limit] {
-        m_attempt->silence = 0;
-        // Without another target the request stays where it is: a late answer is still one.
+    m_context.loop.cancel(m_attempt->silenceTimer);
+    m_attempt->silenceTimer = m_context.loop.after(limit, [this, limit] {
+        m_attempt->silenceTimer = 0;
+        // If no retry is possible, keep waiting: a late response is better than none.
         if (!m_admitted.route->isRetryable() || m_runs + 1 >= m_admitted.route->maximumAttempts
-            || !mayTryAgain()) {
-            watchSilence(limit);
+            || !mayRetry()) {
+            armSilenceTimer(limit);
             return;
         }
         m_attempt->channel->cancel();
         m_mayHaveRun = true;
         ++m_runs;
         endAttempt(TargetOutcome::Unreachable);
-        offer();
+        submit();
     });
 }
 
-void ForwardedRequest::attemptFailed(TargetOutcome outcome, std::string_view cause)
+void ForwardedRequest::onAttemptFailed(TargetOutcome outcome, std::string_view cause)
 {
     const Instant now = m_context.loop.now();
     m_context.log.write(LogEvent(GatewayEvent::AttemptFailed)
@@ -256,85 +256,86 @@
                             .with("may_have_run", m_mayHaveRun)
                             .with("took_ms", now - m_attempt->started)
                             .with("left_ms", m_admitted.deadline - now));
-    // What never connected didn't arrive: it counts neither as a run nor as a repeated send.
+    // Without a connection the target received nothing: neither a run nor a retry is counted.
     const bool arrived = cause != AttemptFailure::NotConnected;
     m_runs += arrived && outcome != TargetOutcome::Full ? 1 : 0;
     endAttempt(outcome);
-    if (arrived ? mayTryAgain() : m_sends < MostSends)
-        offer();
+    if (arrived ? mayRetry() : m_sends < MaxSends)
+        submit();
     else
-        giveUp();
+        failRequest();
 }
 
-bool ForwardedRequest::mayTryAgain()
+bool ForwardedRequest::mayRetry()
 {
     const Instant now = m_context.loop.now();
     const bool allowed = m_context.policies.repeats
-        && (!m_mayHaveRun || m_admitted.route->isRetryable()) && m_sends < MostSends
+        && (!m_mayHaveRun || m_admitted.route->isRetryable()) && m_sends < MaxSends
         && m_runs < std::max(m_admitted.route->maximumAttempts, 1U)
-        && m_admitted.deadline - now > LeastTimeToTry
-        && !m_context.suspects->quarantine(m_fingerprint);
+        && m_admitted.deadline - now > MinTimeToRetry
+        && !m_context.suspectGuard->quarantine(m_fingerprint);
     if (!allowed)
         return false;
-    return takeRetry(now);
+    return takeRetryFromBudget(now);
 }
 
-bool ForwardedRequest::takeRetry(Instant now)
+bool ForwardedRequest::takeRetryFromBudget(Instant now)
 {
-    const RetryDecision verdict
-        = m_context.retriesOf(m_admitted.service).tryTake(now, m_context.fleetSize);
-    LogEvent line(verdict.isGranted ? GatewayEvent::RetryGranted : GatewayEvent::RetryDenied);
+    const RetryDecision decision
+        = m_context.retryBudgetOf(m_admitted.service).tryTake(now, m_context.fleetSize);
+    LogEvent line(decision.isGranted ? GatewayEvent::RetryGranted : GatewayEvent::RetryDenied);
     line.forRequest(m_admitted.fields.id)
         .with("service", m_admitted.service.text())
         .with("attempt", m_sends)
-        .with("window_requests", verdict.requests)
-        .with("window_repeats", verdict.retries)
-        .with("window_allowed", verdict.allowed)
-        .with("fleet_size", verdict.daemons);
-    if (verdict.isGranted)
+        .with("window_requests", decision.requests)
+        .with("window_repeats", decision.retries)
+        .with("window_allowed", decision.allowed)
+        .with("fleet_size", decision.daemons);
+    if (decision.isGranted)
         line.markRoutine();
     m_context.log.write(line);
-    m_context.metrics.retryDecided(m_admitted.service, verdict.isGranted);
-    return verdict.isGranted;
+    m_context.metrics.retryDecided(m_admitted.service, decision.isGranted);
+    return decision.isGranted;
 }
 
 void ForwardedRequest::endAttempt(TargetOutcome outcome)
 {
-    m_context.loop.cancel(m_attempt->silence);
+    m_context.loop.cancel(m_attempt->silenceTimer);
     const Instant now = m_context.loop.now();
     if (outcome == TargetOutcome::Served)
-        m_context.suspects->recordAnswer(m_fingerprint);
+        m_context.suspectGuard->recordAnswer(m_fingerprint);
     m_context.targets.requestEnded(m_attempt->target.instance(), m_admitted.size, outcome,
                                    now - m_attempt->started, m_attempt->hasFirstEvent, now);
     if (outcome == TargetOutcome::Served)
         m_context.urgency.recordHoldTime(m_admitted.service, m_admitted.route->name,
                                          m_admitted.route->tier, now - m_attempt->started);
     m_attempt.reset();
-    m_context.roomFreed();
+    m_context.capacityFreed();
 }
 
-void ForwardedRequest::giveUp()
+void ForwardedRequest::failRequest()
 {
     if (m_progress != Progress::Nothing) {
-        abort(RequestEnd::TargetFailed);
-    } else if (m_failedAnswer) {
-        m_attempt = std::exchange(m_failedAnswer, std::nullopt);
-        passOwnHead({BodyFraming::Kind::Sized, m_attempt->body.size()});
+        abort(RequestOutcome::TargetFailed);
+    } else if (m_failedAttempt) {
+        m_attempt = std::exchange(m_failedAttempt, std::nullopt);
+        forwardHead({BodyFraming::Kind::Sized, m_attempt->body.size()});
         m_responder.sendBody(m_attempt->body);
         m_attempt.reset();
-        finish(RequestEnd::TargetFailed);
+        finish(RequestOutcome::TargetFailed);
     } else if (m_mayHaveRun) {
-        answerOwn(RequestEnd::TargetFailed, HttpStatus::BadGateway, std::nullopt);
+        sendLocalResponse(RequestOutcome::TargetFailed, HttpStatus::BadGateway, std::nullopt);
     } else {
-        answerOwn(RequestEnd::TargetsRefused, HttpStatus::Unavailable, UsualRetryAfter);
+        sendLocalResponse(RequestOutcome::TargetsRefused, HttpStatus::Unavailable,
+                          DefaultRetryAfter);
     }
 }
 
 void ForwardedRequest::onDeadline()
 {
     const Instant now = m_context.loop.now();
-    if (m_attempt && now < m_admitted.deadline + AnswerOnItsWay) {
-        m_deadlineTimer = m_context.loop.after(m_admitted.deadline + AnswerOnItsWay - now, [this] {
+    if (m_attempt && now < m_admitted.deadline + DeadlineGrace) {
+        m_deadlineTimer = m_context.loop.after(m_admitted.deadline + DeadlineGrace - now, [this] {
             m_deadlineTimer = 0;
             onDeadline();
         });
@@ -348,11 +349,11 @@
     }
     stopWaiting();
     if (m_progress != Progress::Nothing)
-        abort(RequestEnd::TimedOut);
+        abort(RequestOutcome::TimedOut);
     else if (m_mayHaveRun)
-        answerOwn(RequestEnd::TimedOut, HttpStatus::GatewayTimeout, std::nullopt);
+        sendLocalResponse(RequestOutcome::TimedOut, HttpStatus::GatewayTimeout, std::nullopt);
     else
-        answerOwn(RequestEnd::TimedOut, HttpStatus::Unavailable, Duration::zero());
+        sendLocalResponse(RequestOutcome::TimedOut, HttpStatus::Unavailable, Duration::zero());
 }
 
 void ForwardedRequest::onCallerGone()
@@ -361,14 +362,14 @@
         return;
     stopWaiting();
     if (m_attempt) {
-        const bool wasSilent
-            = !m_attempt->hasHead && m_context.loop.now() - m_attempt->started > firstEventLimit();
+        const bool wasSilent = !m_attempt->hasHead
+            && m_context.loop.now() - m_attempt->started > firstEventTimeout();
         m_attempt->channel->cancel();
         endAttempt(wasSilent ? TargetOutcome::Unreachable : TargetOutcome::Cancelled);
     }
     m_progress = Progress::Ended;
     m_context.loop.cancel(m_deadlineTimer);
-    record(RequestEnd::CallerGone);
+    record(RequestOutcome::CallerGone);
 }
 
 void ForwardedRequest::onCallerDrained()
@@ -377,36 +378,36 @@
         m_attempt->channel->setReading(true);
 }
 
-void ForwardedRequest::answerOwn(RequestEnd end, unsigned status,
-                                 std::optional<Duration> retryAfter)
+void ForwardedRequest::sendLocalResponse(RequestOutcome outcome, unsigned status,
+                                         std::optional<Duration> retryAfter)
 {
     m_status = status;
-    m_responder.sendHead(m_context.dialect.localResponse(status, m_admitted.fields.id, retryAfter),
+    m_responder.sendHead(m_context.protocol.localResponse(status, m_admitted.fields.id, retryAfter),
                          {BodyFraming::Kind::Sized, 0});
-    finish(end);
+    finish(outcome);
 }
 
-void ForwardedRequest::finish(RequestEnd end)
+void ForwardedRequest::finish(RequestOutcome outcome)
 {
     m_progress = Progress::Ended;
     m_context.loop.cancel(m_deadlineTimer);
-    record(end);
-    m_responder.finishAnswer();
+    record(outcome);
+    m_responder.finishResponse();
 }
 
-void ForwardedRequest::abort(RequestEnd end)
+void ForwardedRequest::abort(RequestOutcome outcome)
 {
     m_progress = Progress::Ended;
     m_context.loop.cancel(m_deadlineTimer);
-    record(end);
-    m_responder.abortAnswer();
+    record(outcome);
+    m_responder.abortResponse();
 }
 
-void ForwardedRequest::record(RequestEnd end)
+void ForwardedRequest::record(RequestOutcome outcome)
 {
     const Instant now = m_context.loop.now();
     RequestRecord record {
-        .end = end,
+        .outcome = outcome,
         .id = m_admitted.fields.id,
         .route = m_admitted.route ? m_admitted.route->name : ClassId(),
         .customer = m_admitted.customer ? m_admitted.customer->name : CustomerId(),
@@ -416,14 +417,14 @@
         .status = m_status,
         .sends = m_sends,
         .mayHaveRun = m_mayHaveRun,
-        .took = now - m_arrived,
-        .left = m_admitted.deadline - now,
-        .first = std::nullopt,
+        .duration = now - m_arrived,
+        .remaining = m_admitted.deadline - now,
+        .timeToFirstByte = std::nullopt,
         .refusal = m_refusal,
-        .limit = m_limit,
+        .limit = m_limitDecision,
     };
-    if (m_firstAnswer)
-        record.first = *m_firstAnswer - m_arrived;
+    if (m_firstByteTime)
+        record.timeToFirstByte = *m_firstByteTime - m_arrived;
     recordRequest(record, m_context.log, m_context.metrics);
 }
 
--- a/packages/gateway/apricothook/gateway/apricothook_forwarded_request.hpp
+++ b/packages/gateway/apricothook/gateway/apricothook_forwarded_request.hpp
@@ -3,7 +3,7 @@
 #include <apricothook/gateway/apricothook_caller_responder.hpp>
 #include <apricothook/gateway/apricothook_event_stream_scanner.hpp>
 #include <apricothook/gateway/apricothook_gateway_context.hpp>
-#include <apricothook/gateway/apricothook_request_end.hpp>
+#include <apricothook/gateway/apricothook_request_outcome.hpp>
 #include <apricothook/gateway/internal/apricothook_attempt.hpp>
 #include <apricothook/gateway/internal/apricothook_request_admission.hpp>
 
@@ -15,13 +15,14 @@
 namespace Apricothook {
 
 /**
- * One request of a caller on its way: admission, waiting for a target, the target's answer, and
- * another target where the route allows it.
+ * Forwards one request: admission, queueing for a target, relaying the response, and retries on
+ * other targets where the route allows them.
  *
- * "Not run" is said only while it is certain: no byte was sent, or every target that got the
- * request stated that it didn't run it. After anything else the caller hears that it may have run.
+ * A request is reported as "not run" only if that is certain: no byte of it was sent, or every
+ * target that received it stated that it didn't run it. Otherwise the caller is told that the
+ * request may have run.
  */
-class ForwardedRequest : public CallerRequestEvents, private TargetAnswerEvents
+class ForwardedRequest : public CallerRequestEvents, private TargetResponseEvents
 {
 public:
     ForwardedRequest(GatewayContext &context, ExchangeId id, ReceivedRequest request,
@@ -32,51 +33,52 @@
 
     ExchangeId id() const { return m_id; }
     void begin();
-    void placed(const TargetEntry &target);
-    void refused(const RefusalDetails &facts);
-    /** The customer's limit has the request's units, or not. */
-    void limitDecided(const LimitDecision &verdict);
-    /** What an earlier start of the target had of the request is lost with it. */
-    void targetRestarted(const TargetInstance &present);
+    void onPlaced(const TargetEntry &target);
+    void onRefused(const RefusalDetails &facts);
+    /** The rate limit of the customer admitted or rejected the request. */
+    void onLimitDecided(const LimitDecision &decision);
+    /** Fails the attempt if it was sent to an earlier instance of the target. */
+    void onTargetRestarted(const TargetInstance &current);
     void onCallerGone() override;
     void onCallerDrained() override;
 
 private:
-    /** What the caller has of the answer. */
+    /** The part of the response that was sent to the caller. */
     enum class Progress { Nothing, Head, Ended };
 
-    void onAnswerHead(const ResponseHead &head, const TargetResponseFields &verdict) override;
-    void onAnswerBody(std::string_view bytes) override;
-    void onAnswerComplete() override;
-    void onAnswerFailed(ChannelFailure failure) override;
+    void onResponseHead(const ResponseHead &head, const TargetResponseFields &fields) override;
+    void onResponseBody(std::string_view bytes) override;
+    void onResponseComplete() override;
+    void onResponseFailed(ChannelFailure failure) override;
 
-    /** True when the request was refused, as it crashes its targets. */
-    bool refuseQuarantined();
-    void takeUnits();
+    /** Rejects the request and returns true if it is quarantined. */
+    bool refuseIfQuarantined();
+    void acquireUnits();
     void start();
-    void offer();
-    /** Neither for units nor for a target any longer. */
+    void submit();
+    /** Stops waiting for units or a target. */
     void stopWaiting();
     void send(const TargetEntry &target);
-    void watchSilence(Duration limit);
-    Duration firstEventLimit() const;
+    void armSilenceTimer(Duration limit);
+    Duration firstEventTimeout() const;
     bool isStreaming() const;
-    void passEvents(std::string_view bytes);
-    void passLargeBody();
-    void passOwnHead(BodyFraming framing);
+    void forwardEvents(std::string_view bytes);
+    void forwardBufferedBody();
+    void forwardHead(BodyFraming framing);
     void completeStream();
-    void completePlain();
-    void attemptFailed(TargetOutcome outcome, std::string_view cause);
+    void completeNonStream();
+    void onAttemptFailed(TargetOutcome outcome, std::string_view cause);
     void endAttempt(TargetOutcome outcome);
-    bool mayTryAgain();
-    /** Takes a repeated send from the retry budget, if that has one. */
-    bool takeRetry(Instant now);
-    void giveUp();
+    bool mayRetry();
+    /** Takes one retry from the retry budget; false if it is used up. */
+    bool takeRetryFromBudget(Instant now);
+    void failRequest();
     void onDeadline();
-    void answerOwn(RequestEnd end, unsigned status, std::optional<Duration> retryAfter);
-    void abort(RequestEnd end);
-    void finish(RequestEnd end);
-    void record(RequestEnd end);
+    void sendLocalResponse(RequestOutcome outcome, unsigned status,
+                           std::optional<Duration> retryAfter);
+    void abort(RequestOutcome outcome);
+    void finish(RequestOutcome outcome);
+    void record(RequestOutcome outcome);
 
     GatewayContext &m_context;
     const ExchangeId m_id;
@@ -90,21 +92,21 @@
     Progress m_progress = Progress::Nothing;
     bool m_waiting = false;
     bool m_waitsForUnits = false;
-    /** Some target may have run the request. */
+    /** A target may have run the request. */
     bool m_mayHaveRun = false;
     unsigned m_runs = 0;
     unsigned m_sends = 0;
     unsigned m_status = 0;
-    std::set<TargetInstance> m_tried;
+    std::set<TargetInstance> m_triedTargets;
     std::optional<Attempt> m_attempt;
-    /** A failure of a target that is passed on if nothing better comes. */
-    std::optional<Attempt> m_failedAnswer;
+    /** A target's error response, forwarded if no other attempt succeeds. */
+    std::optional<Attempt> m_failedAttempt;
     EventStreamScanner m_scanner;
     std::optional<std::uint64_t> m_lastEvent;
-    std::optional<Instant> m_firstAnswer;
-    /** Set when the dispatcher found no room. */
+    std::optional<Instant> m_firstByteTime;
+    /** Set if the dispatcher refused the request. */
     std::optional<RefusalDetails> m_refusal;
-    std::optional<LimitDecision> m_limit;
+    std::optional<LimitDecision> m_limitDecision;
 };
 
 } // namespace Apricothook
--- a/packages/gateway/apricothook/gateway/apricothook_gateway.cpp
+++ b/packages/gateway/apricothook/gateway/apricothook_gateway.cpp
@@ -6,21 +6,22 @@
 
 namespace Apricothook {
 
-Gateway::Gateway(EventLoop &loop, const WireProtocol &dialect, RandomSource &random, LogWriter &log,
-                 Metrics &metrics, const FleetBounds &bounds, const DataCentreId &dataCentre,
-                 const PolicySwitches &policies, const LimitPeer &self)
+Gateway::Gateway(EventLoop &loop, const WireProtocol &protocol, RandomSource &random,
+                 LogWriter &log, Metrics &metrics, const FleetBounds &bounds,
+                 const DataCentreId &dataCentre, const PolicySwitches &policies,
+                 const LimitPeer &self)
     : m_loop(loop)
     , m_bounds(bounds)
     , m_targets(dataCentre, policies, ColdTargetLimiter(self.member, bounds))
     , m_limits(m_bounds, self, *this, *this, *this, random)
     , m_dispatcher(m_targets, *this, policies)
-    , m_channels(loop, dialect, log)
-    , m_crashes(loop,
-                [this](const TargetId &target, const std::vector<Fingerprint> &requests) {
-                    m_context.suspects->recordCrash(target, requests);
-                })
+    , m_channels(loop, protocol, log)
+    , m_crashDetector(loop,
+                      [this](const TargetId &target, const std::vector<Fingerprint> &requests) {
+                          m_context.suspectGuard->recordCrash(target, requests);
+                      })
     , m_context {.loop = loop,
-                 .dialect = dialect,
+                 .protocol = protocol,
                  .random = random,
                  .log = log,
                  .metrics = metrics,
@@ -30,19 +31,19 @@
                  .dispatcher = m_dispatcher,
                  .channels = m_channels,
                  .limits = m_limits,
-                 .crashes = m_crashes,
-                 .suspects = &m_noSuspects,
+                 .crashDetector = m_crashDetector,
+                 .suspectGuard = &m_nullSuspectGuard,
                  .routes = nullptr,
                  .members = 1,
                  .fleetSize = std::nullopt,
-                 .refusesNew = false,
+                 .refusesNewRequests = false,
                  .started = loop.now(),
-                 .retries = {},
+                 .retryBudgets = {},
                  .urgency = {},
                  .sizes = {},
                  .limitReserve = {},
-                 .limitAsked = [this] { scheduleLimitReview(); },
-                 .roomFreed = [this] { scheduleReview(); }}
+                 .unitsRequested = [this] { scheduleLimitReview(); },
+                 .capacityFreed = [this] { scheduleReview(); }}
 {
     m_limits.setFleet({{{self, 1, false}}, 1, true, std::nullopt}, loop.now());
     setFleetSize(1);
@@ -50,7 +51,7 @@
 
 Gateway::~Gateway()
 {
-    m_loop.cancel(m_refusalTimer);
+    m_loop.cancel(m_dispatchTimer);
     m_loop.cancel(m_limitTimer);
 }
 
@@ -86,7 +87,7 @@
         = std::ranges::find(m_connections, &connection, &std::unique_ptr<CallerConnection>::get);
     if (found == m_connections.end())
         return;
-    // The connection is in the middle of one of its own calls; it goes when that is over.
+    // Called from a member function of the connection, so it is destroyed after the event.
     m_loop.defer([gone = std::shared_ptr<CallerConnection>(std::move(*found))] {});
     m_connections.erase(found);
 }
@@ -104,26 +105,26 @@
     const bool isRestarted = known && known->entry.instance() != target.instance();
     m_targets.put(target, m_loop.now());
     if (target.isDraining || isRestarted)
-        m_channels.forget(target.id);
+        m_channels.closeIdle(target.id);
     if (isRestarted)
-        targetRestarted(target.instance());
+        onTargetRestarted(target.instance());
     scheduleReview();
 }
 
-void Gateway::targetRestarted(const TargetInstance &present)
+void Gateway::onTargetRestarted(const TargetInstance &current)
 {
     std::vector<ForwardedRequest *> open;
     for (const auto &[id, exchange] : m_exchanges)
         open.push_back(exchange.get());
-    // One that ends meanwhile goes after the present event.
+    // Requests that end in this loop are destroyed after the current event.
     for (ForwardedRequest *exchange : open)
-        exchange->targetRestarted(present);
+        exchange->onTargetRestarted(current);
 }
 
 void Gateway::removeTarget(const TargetId &target)
 {
     m_targets.remove(target);
-    m_channels.forget(target);
+    m_channels.closeIdle(target);
 }
 
 void Gateway::setEvacuated(const DataCentreId &dataCentre, bool isEvacuated)
@@ -175,23 +176,23 @@
 {
     const auto found = m_exchanges.find(exchange.value());
     if (found != m_exchanges.end())
-        found->second->placed(target);
-    if (m_loadChanged)
-        m_loadChanged();
+        found->second->onPlaced(target);
+    if (m_loadListener)
+        m_loadListener();
 }
 
 void Gateway::onRefused(ExchangeId exchange, const RefusalDetails &facts)
 {
     const auto found = m_exchanges.find(exchange.value());
     if (found != m_exchanges.end())
-        found->second->refused(facts);
+        found->second->onRefused(facts);
 }
 
-void Gateway::onLimitDecided(ExchangeId exchange, const LimitDecision &verdict)
+void Gateway::onLimitDecided(ExchangeId exchange, const LimitDecision &decision)
 {
     const auto found = m_exchanges.find(exchange.value());
     if (found != m_exchanges.end())
-        found->second->limitDecided(verdict);
+        found->second->onLimitDecided(decision);
 }
 
 void Gateway::onGrantorChanged(std::uint64_t customer, GrantorChange change, double level)
@@ -230,8 +231,8 @@
 
 void Gateway::scheduleReview()
 {
-    if (m_loadChanged)
-        m_loadChanged();
+    if (m_loadListener)
+        m_loadListener();
     if (std::exchange(m_reviewPending, true))
         return;
     m_loop.defer([this] { review(); });
@@ -241,9 +242,9 @@
 {
     m_reviewPending = false;
     m_dispatcher.review(m_loop.now());
-    m_loop.cancel(m_refusalTimer);
+    m_loop.cancel(m_dispatchTimer);
     if (const std::optional<Instant> next = m_dispatcher.nextTimeout())
-        m_refusalTimer = m_loop.after(*next - m_loop.now(), [this] { scheduleReview(); });
+        m_dispatchTimer = m_loop.after(*next - m_loop.now(), [this] { scheduleReview(); });
 }
 
 } // namespace Apricothook
--- a/packages/gateway/apricothook/gateway/apricothook_gateway.hpp
+++ b/packages/gateway/apricothook/gateway/apricothook_gateway.hpp
@@ -10,7 +10,7 @@
 
 namespace Apricothook {
 
-/** Serves callers: their connections, the requests on them and the channels to targets. */
+/** The HTTP reverse proxy: caller connections, requests in progress and target channels. */
 class Gateway : private CallerRequestHandler,
                 private DispatchListener,
                 private LimitListener,
@@ -18,7 +18,7 @@
                 private LimitMessenger
 {
 public:
-    Gateway(EventLoop &loop, const WireProtocol &dialect, RandomSource &random, LogWriter &log,
+    Gateway(EventLoop &loop, const WireProtocol &protocol, RandomSource &random, LogWriter &log,
             Metrics &metrics, const FleetBounds &bounds, const DataCentreId &dataCentre,
             const PolicySwitches &policies = {}, const LimitPeer &self = {});
     ~Gateway() override;
@@ -26,24 +26,25 @@
     Gateway &operator=(const Gateway &) = delete;
 
     Result<void, ListenError> listen(const Endpoint &address);
-    /** The port of the callers' address; zero while not listening. */
+    /** The listening port; zero while not listening. */
     std::uint16_t port() const { return m_listener ? m_listener->port() : 0; }
     void setConfiguration(std::shared_ptr<const RouteTable> routes);
-    /** Daemons that are believed to serve, this one with them. */
+    /** Number of live daemons, including this one. */
     void setMembers(std::size_t live) { m_context.members = live; }
-    /** Daemons among which the fleet's bounds are divided; nothing while that is unknown. */
+    /** Number of daemons that share the fleet-wide bounds; nothing while unknown. */
     void setFleetSize(std::optional<std::size_t> daemons) { m_context.fleetSize = daemons; }
-    /** Takes a target over as it now is. */
+    /** Adds or updates a target; attempts at an earlier instance of it fail. */
     void putTarget(const TargetEntry &target);
     void removeTarget(const TargetId &target);
-    /** Targets of an evacuated data centre get nothing; what waits is placed anew at once. */
+    /** Targets of an evacuated data centre get no requests; waiting requests are dispatched anew.
+     */
     void setEvacuated(const DataCentreId &dataCentre, bool isEvacuated);
 
-    /** From now on every answer ends its connection. */
-    void startDraining() { m_leaving = true; }
-    /** New requests are refused as not run: they would outlive the process. */
-    void refuseNewRequests() { m_context.refusesNew = true; }
-    /** No new connections; those that carry nothing are closed. */
+    /** From now on each connection is closed after its response. */
+    void startDraining() { m_draining = true; }
+    /** New requests are rejected as not run, as they couldn't complete before the shutdown. */
+    void refuseNewRequests() { m_context.refusesNewRequests = true; }
+    /** Stops accepting connections and closes the idle ones. */
     void stopListening();
     std::size_t openRequests() const { return m_exchanges.size(); }
     std::size_t callerConnections() const { return m_connections.size(); }
@@ -51,15 +52,15 @@
     TargetTable &targets() { return m_targets; }
     Dispatcher &dispatcher() { return m_dispatcher; }
     CustomerRateLimiter &limits() { return m_limits; }
-    /** Without one, this daemon takes itself for alone. */
+    /** Without a messenger, the daemon assumes that it is the only one. */
     void setLimitMessenger(LimitMessenger &messenger);
-    /** Without one, no request is suspected of crashing targets. */
-    void setSuspectGuard(SuspectGuard &guard) { m_context.suspects = &guard; }
-    /** To be called when the limits were told something. */
+    /** Without a guard, no request is quarantined. */
+    void setSuspectGuard(SuspectGuard &guard) { m_context.suspectGuard = &guard; }
+    /** Must be called after limits() received a message or an update. */
     void scheduleLimitReview();
-    /** `changed` is called when this daemon's load or waiting requests have changed. */
-    void setLoadListener(std::function<void()> changed) { m_loadChanged = std::move(changed); }
-    /** Looks for room for what waits, after the present event. */
+    /** `changed` is called when this daemon's load or queue may have changed. */
+    void setLoadListener(std::function<void()> changed) { m_loadListener = std::move(changed); }
+    /** Dispatches waiting requests after the current event. */
     void scheduleReview();
 
 private:
@@ -68,18 +69,18 @@
     MessageLimits messageLimits() const override;
     Duration headTimeout() const override { return limits().headTimeout; }
     Duration idleTimeout() const override { return limits().idleTimeout; }
-    const WireProtocol &dialect() const override { return m_context.dialect; }
-    bool isLeaving() const override { return m_leaving; }
+    const WireProtocol &protocol() const override { return m_context.protocol; }
+    bool isDraining() const override { return m_draining; }
 
     void onPlaced(ExchangeId exchange, const TargetEntry &target) override;
     void onRefused(ExchangeId exchange, const RefusalDetails &facts) override;
 
-    void onLimitDecided(ExchangeId exchange, const LimitDecision &verdict) override;
+    void onLimitDecided(ExchangeId exchange, const LimitDecision &decision) override;
     void onGrantorChanged(std::uint64_t customer, GrantorChange change, double level) override;
     void send(const Endpoint &to, const LimitMessage &message) override;
 
     void accept(int descriptor);
-    void targetRestarted(const TargetInstance &present);
+    void onTargetRestarted(const TargetInstance &current);
     void connectionClosed(CallerConnection &connection);
     void review();
     CallerBounds limits() const;
@@ -91,18 +92,18 @@
     CustomerRateLimiter m_limits;
     Dispatcher m_dispatcher;
     ChannelPool m_channels;
-    NullSuspectGuard m_noSuspects;
-    CrashWatch m_crashes;
+    NullSuspectGuard m_nullSuspectGuard;
+    CrashDetector m_crashDetector;
     GatewayContext m_context;
     std::unique_ptr<Listener> m_listener;
     std::list<std::unique_ptr<CallerConnection>> m_connections;
     std::unordered_map<std::uint64_t, std::unique_ptr<ForwardedRequest>> m_exchanges;
     std::uint64_t m_lastExchange = 0;
-    bool m_leaving = false;
+    bool m_draining = false;
     bool m_reviewPending = false;
-    TimerId m_refusalTimer = 0;
+    TimerId m_dispatchTimer = 0;
     TimerId m_limitTimer = 0;
-    std::function<void()> m_loadChanged;
+    std::function<void()> m_loadListener;
 };
 
 } // namespace Apricothook
--- a/packages/gateway/apricothook/gateway/apricothook_gateway_context.hpp
+++ b/packages/gateway/apricothook/gateway/apricothook_gateway_context.hpp
@@ -9,7 +9,7 @@
 #include <apricothook/dispatch/apricothook_route_urgency.hpp>
 #include <apricothook/dispatch/apricothook_size_order.hpp>
 #include <apricothook/gateway/apricothook_channel_pool.hpp>
-#include <apricothook/gateway/apricothook_crash_watch.hpp>
+#include <apricothook/gateway/apricothook_crash_detector.hpp>
 #include <apricothook/gateway/apricothook_suspect_guard.hpp>
 #include <apricothook/observe/apricothook_metrics.hpp>
 
@@ -20,11 +20,11 @@
 
 namespace Apricothook {
 
-/** What all requests of the gateway share; lives as long as the gateway. */
+/** State shared by all requests of the gateway; lives as long as the gateway. */
 struct GatewayContext
 {
     EventLoop &loop;
-    const WireProtocol &dialect;
+    const WireProtocol &protocol;
     RandomSource &random;
     LogWriter &log;
     Metrics &metrics;
@@ -34,31 +34,31 @@
     Dispatcher &dispatcher;
     ChannelPool &channels;
     CustomerRateLimiter &limits;
-    CrashWatch &crashes;
+    CrashDetector &crashDetector;
     /** Never null. */
-    SuspectGuard *suspects;
-    /** Null until the first configuration is known. */
+    SuspectGuard *suspectGuard;
+    /** Null until the first configuration is received. */
     std::shared_ptr<const RouteTable> routes;
-    /** Daemons that are believed to serve, this one with them. */
+    /** Number of live daemons, including this one. */
     std::size_t members = 1;
-    /** Daemons among which the fleet's bounds are divided; unknown after a start. */
+    /** Number of daemons that share the fleet-wide bounds; unknown after a start. */
     std::optional<std::size_t> fleetSize;
-    /** The process is about to end. */
-    bool refusesNew = false;
-    /** When this process began to serve. */
+    /** The process is shutting down. */
+    bool refusesNewRequests = false;
+    /** When the gateway was created. */
     const Instant started {};
-    std::map<ServiceId, RetryBudgetShare> retries;
+    std::map<ServiceId, RetryBudgetShare> retryBudgets;
     RouteUrgency urgency;
     SizeOrder sizes;
     LimitReserve limitReserve;
-    /** Called when a request waits for its customer's units. */
-    std::function<void()> limitAsked;
+    /** Called when a request starts to wait for its customer's units. */
+    std::function<void()> unitsRequested;
     /** Called when a slot of a target may have become free. */
-    std::function<void()> roomFreed;
+    std::function<void()> capacityFreed;
 
-    RetryBudgetShare &retriesOf(const ServiceId &service)
+    RetryBudgetShare &retryBudgetOf(const ServiceId &service)
     {
-        return retries.try_emplace(service, bounds, started).first->second;
+        return retryBudgets.try_emplace(service, bounds, started).first->second;
     }
 };
 
--- a/packages/gateway/apricothook/gateway/apricothook_request_end.hpp
+++ b/packages/gateway/apricothook/gateway/apricothook_request_outcome.hpp
@@ -4,8 +4,8 @@
 
 namespace Apricothook {
 
-/** Why a request is refused or fails; the log and docs/OPERATIONS.md name it the same way. */
-enum class RequestEnd {
+/** How a request ended; nameOf() gives the names used in the log and in docs/OPERATIONS.md. */
+enum class RequestOutcome {
     Answered,
     NoConfiguration,
     Leaving,
@@ -22,6 +22,6 @@
     CallerGone,
 };
 
-std::string_view nameOf(RequestEnd end);
+std::string_view nameOf(RequestOutcome outcome);
 
 } // namespace Apricothook
--- a/packages/gateway/apricothook/gateway/apricothook_target_channel.hpp
+++ b/packages/gateway/apricothook/gateway/apricothook_target_channel.hpp
@@ -9,62 +9,62 @@
 
 namespace Apricothook {
 
-/** Why a channel gave no whole answer. */
+/** Why no complete response was received. */
 enum class ChannelFailure {
     NotConnected, ///< No byte of the request was sent.
-    Broken,       ///< The connection ended within the answer or before it.
-    Malformed,    ///< The bytes aren't an answer.
+    Broken,       ///< The connection ended before or within the response.
+    Malformed,    ///< The bytes aren't a valid response.
 };
 
-/** Is told of the answer to one request. */
-class TargetAnswerEvents
+/** Receives the response to one request. */
+class TargetResponseEvents
 {
 public:
-    virtual ~TargetAnswerEvents() = default;
-    virtual void onAnswerHead(const ResponseHead &head, const TargetResponseFields &verdict) = 0;
-    virtual void onAnswerBody(std::string_view bytes) = 0;
-    virtual void onAnswerComplete() = 0;
-    virtual void onAnswerFailed(ChannelFailure failure) = 0;
+    virtual ~TargetResponseEvents() = default;
+    virtual void onResponseHead(const ResponseHead &head, const TargetResponseFields &fields) = 0;
+    virtual void onResponseBody(std::string_view bytes) = 0;
+    virtual void onResponseComplete() = 0;
+    virtual void onResponseFailed(ChannelFailure failure) = 0;
 };
 
 class TargetChannel;
 
-/** Gets channels back when they are idle or closed. */
+/** Owns the channels; notified when they become idle or closed. */
 class TargetChannelOwner
 {
 public:
     virtual ~TargetChannelOwner() = default;
     virtual void onChannelIdle(TargetChannel &channel) = 0;
-    /** May not destroy the channel before the present event of the loop is over. */
+    /** Must not destroy the channel during the current event of the loop. */
     virtual void onChannelClosed(TargetChannel &channel) = 0;
-    virtual void onStrayAnswer(const TargetChannel &channel) = 0;
+    virtual void onUnexpectedResponse(const TargetChannel &channel) = 0;
 };
 
 /**
  * A connection to one target that carries one request at a time.
  *
- * A faulty target sends more than it was asked for: bytes behind a complete answer, or a second
- * answer where the next request's is due, which would reach a stranger. So bytes on an idle channel
- * close it, and an answer that names another request is read to its end and dropped.
+ * A faulty target may send bytes after a complete response, or a second response that would be
+ * taken for the response to the next request and reach another caller. Bytes on an idle channel
+ * therefore close it, and a response with the id of another request is read and discarded.
  */
 class TargetChannel : private StreamSocketEvents
 {
 public:
-    /** Round trips take milliseconds; beyond this the target is down or its queue is full. */
+    /** A round trip takes milliseconds; a slower target is down or its listen queue is full. */
     static constexpr std::chrono::milliseconds ConnectTimeout {150};
-    /** Answers of others that are passed over before the channel is given up. */
-    static constexpr unsigned MostStrayAnswers = 2;
+    /** Responses to other requests that are discarded before the channel is closed. */
+    static constexpr unsigned MaxUnexpectedResponses = 2;
 
-    TargetChannel(EventLoop &loop, const WireProtocol &dialect, TargetChannelOwner &owner,
+    TargetChannel(EventLoop &loop, const WireProtocol &protocol, TargetChannelOwner &owner,
                   const TargetEntry &target);
     ~TargetChannel() override;
     TargetChannel(const TargetChannel &) = delete;
     TargetChannel &operator=(const TargetChannel &) = delete;
 
-    /** `answersHead`: the request's method is HEAD. */
-    void start(const RequestKey &request, std::string_view bytes, bool answersHead,
-               TargetAnswerEvents &events);
-    /** Ends the request; a target drops what it runs when its connection closes. */
+    /** `isHeadResponse`: the request's method is HEAD, so the response has no body. */
+    void start(const RequestKey &request, std::string_view bytes, bool isHeadResponse,
+               TargetResponseEvents &events);
+    /** Cancels the request by closing the connection, on which the target stops working. */
     void cancel();
     void setReading(bool reading) { m_socket.setReading(reading); }
     void close();
@@ -72,34 +72,34 @@
     const TargetEntry &target() const { return m_target; }
     bool isIdle() const { return !m_events && m_socket.isOpen(); }
     Instant idleSince() const { return m_idleSince; }
-    /** How long the target said it keeps an idle connection. */
-    std::optional<Duration> kept() const { return m_kept; }
+    /** The target's keep-alive timeout, if it stated one. */
+    std::optional<Duration> keepAliveTimeout() const { return m_keepAliveTimeout; }
 
 private:
     void onConnected() override;
     void onData(std::string_view bytes) override;
     void onEnd(CloseReason end) override;
 
-    void readAnswer(std::string_view bytes);
-    bool takeHead();
-    void completeAnswer(bool hasMoreBytes);
+    void readResponse(std::string_view bytes);
+    bool processHead();
+    void completeResponse(bool hasMoreBytes);
     void fail(ChannelFailure failure);
-    void resetAnswer();
+    void resetResponse();
 
     EventLoop &m_loop;
-    const WireProtocol &m_dialect;
+    const WireProtocol &m_protocol;
     TargetChannelOwner &m_owner;
     const TargetEntry m_target;
-    TargetAnswerEvents *m_events = nullptr;
+    TargetResponseEvents *m_events = nullptr;
     RequestKey m_request;
-    bool m_answersHead = false;
+    bool m_isHeadResponse = false;
     bool m_connected = false;
-    bool m_headTold = false;
-    bool m_isStray = false;
-    unsigned m_strays = 0;
+    bool m_headReported = false;
+    bool m_isUnexpected = false;
+    unsigned m_unexpectedResponses = 0;
     ResponseReader m_reader {false};
     Instant m_idleSince {};
-    std::optional<Duration> m_kept;
+    std::optional<Duration> m_keepAliveTimeout;
     TimerId m_connectTimer = 0;
     StreamSocket m_socket;
 };
--- a/packages/gateway/apricothook/gateway/internal/apricothook_attempt.hpp
+++ b/packages/gateway/apricothook/gateway/internal/apricothook_attempt.hpp
@@ -10,7 +10,7 @@
 
 class TargetChannel;
 
-/** The send to one target that is under way. */
+/** The current attempt: a request sent to one target. */
 struct Attempt
 {
     TargetEntry target;
@@ -23,7 +23,7 @@
     bool isNotRun = false;
     ResponseHead head;
     std::string body;
-    TimerId silence = 0;
+    TimerId silenceTimer = 0;
 };
 
 } // namespace Apricothook
--- a/packages/gateway/apricothook/gateway/internal/apricothook_request_admission.cpp
+++ b/packages/gateway/apricothook/gateway/internal/apricothook_request_admission.cpp
@@ -9,25 +9,26 @@
 
 namespace {
 
-/** When there is nothing to reckon with. */
-constexpr std::chrono::milliseconds UsualRetryAfter {500};
+/** Used if nothing is known about when the request could be served. */
+constexpr std::chrono::milliseconds DefaultRetryAfter {500};
 
 Result<void, AdmissionRefusal> findRoute(GatewayContext &context, AdmittedRequest &request)
 {
     const RouteTable &routes = *request.routes;
     request.route = routes.route(request.fields.host, request.fields.path);
     if (!request.route)
-        return AdmissionRefusal {RequestEnd::NoRoute, HttpStatus::NotFound, std::nullopt};
+        return AdmissionRefusal {RequestOutcome::NoRoute, HttpStatus::NotFound, std::nullopt};
     request.customer = routes.customerOfKey(request.fields.customerKey);
     if (!request.customer && routes.hasCustomers() && !request.route->isPublic)
-        return AdmissionRefusal {RequestEnd::UnknownKey, HttpStatus::Unauthorized, std::nullopt};
+        return AdmissionRefusal {RequestOutcome::UnknownKey, HttpStatus::Unauthorized,
+                                 std::nullopt};
     request.service = serviceOf(*request.route, context.random.next());
     request.randomDraw = static_cast<double>(context.random.next())
         / static_cast<double>(std::numeric_limits<std::uint64_t>::max());
     return Outcomes::success();
 }
 
-void describeWork(Instant begun, AdmittedRequest &request)
+void setSizeAndDeadline(Instant receiveStarted, AdmittedRequest &request)
 {
     const RouteRule &route = *request.route;
     const bool hasTier = request.customer && request.customer->tier;
@@ -37,12 +38,12 @@
     request.size = {request.fields.promptTokens, request.fields.expectedOutputTokens / perEvent,
                     route.isStream};
     const Duration patience = request.fields.timeout.value_or(route.timeout);
-    // The caller's time runs while its body comes; a target that was handed the whole of it would
-    // work on when the caller has left.
-    request.deadline = begun + std::min(patience, route.timeout);
+    // The caller's timeout also covers the upload of the body. A target that was given the full
+    // timeout after the upload would still work after the caller has disconnected.
+    request.deadline = receiveStarted + std::min(patience, route.timeout);
 }
 
-double limitUnits(const AdmittedRequest &request)
+double demandedUnits(const AdmittedRequest &request)
 {
     if (request.customer->unit == LimitUnit::Requests)
         return 1;
@@ -61,30 +62,31 @@
                                      AdmittedRequest &request)
 {
     const Result<RequestFields, RequestFieldsError> fields
-        = context.dialect.callerRequest(received.head);
+        = context.protocol.callerRequest(received.head);
     if (!fields)
-        return AdmissionRefusal {RequestEnd::BadRequest, HttpStatus::BadRequest, std::nullopt};
+        return AdmissionRefusal {RequestOutcome::BadRequest, HttpStatus::BadRequest, std::nullopt};
     request.fields = fields.value();
     if (!context.routes) {
-        return AdmissionRefusal {RequestEnd::NoConfiguration, HttpStatus::Unavailable,
-                                 UsualRetryAfter};
+        return AdmissionRefusal {RequestOutcome::NoConfiguration, HttpStatus::Unavailable,
+                                 DefaultRetryAfter};
     }
-    if (context.refusesNew)
-        return AdmissionRefusal {RequestEnd::Leaving, HttpStatus::Unavailable, Duration::zero()};
+    if (context.refusesNewRequests)
+        return AdmissionRefusal {RequestOutcome::Leaving, HttpStatus::Unavailable,
+                                 Duration::zero()};
     request.routes = context.routes;
     BOOST_OUTCOME_TRY(findRoute(context, request));
-    describeWork(received.begun, request);
+    setSizeAndDeadline(received.receiveStarted, request);
     return Outcomes::success();
 }
 
-UnitDemand limitClaim(GatewayContext &context, const AdmittedRequest &request)
+UnitDemand unitDemand(GatewayContext &context, const AdmittedRequest &request)
 {
     const LimitUnit unit = request.customer->unit;
-    UnitDemand claim {limitUnits(request), 0};
-    context.limitReserve.recordUnits(unit, *request.route, claim.units);
+    UnitDemand demand {demandedUnits(request), 0};
+    context.limitReserve.recordUnits(unit, *request.route, demand.units);
     if (context.policies.limitReserve)
-        claim.reservedFraction = context.limitReserve.reservedFraction(unit, *request.route);
-    return claim;
+        demand.reservedFraction = context.limitReserve.reservedFraction(unit, *request.route);
+    return demand;
 }
 
 } // namespace Apricothook
--- a/packages/gateway/apricothook/gateway/internal/apricothook_request_record.hpp
+++ b/packages/gateway/apricothook/gateway/internal/apricothook_request_record.hpp
@@ -2,7 +2,7 @@
 
 #include <apricothook/dispatch/apricothook_customer_rate_limiter.hpp>
 #include <apricothook/dispatch/apricothook_dispatcher.hpp>
-#include <apricothook/gateway/apricothook_request_end.hpp>
+#include <apricothook/gateway/apricothook_request_outcome.hpp>
 #include <apricothook/observe/apricothook_metrics.hpp>
 #include <apricothook/observe/apricothook_structured_log.hpp>
 
@@ -10,10 +10,10 @@
 
 namespace Apricothook {
 
-/** All that is told of a request when it ends. */
+/** The data that is logged and counted when a request ends. */
 struct RequestRecord
 {
-    RequestEnd end = RequestEnd::Answered;
+    RequestOutcome outcome = RequestOutcome::Answered;
     RequestKey id;
     ClassId route;
     CustomerId customer;
@@ -21,21 +21,21 @@
     Tier tier;
     Generation generation;
     unsigned status = 0;
-    /** Sends to targets, with those that a target refused. */
+    /** Sends to targets, including those that a target refused. */
     unsigned sends = 0;
     bool mayHaveRun = false;
-    Duration took {};
-    /** Until the deadline; negative after it. */
-    Duration left {};
-    /** From arrival to the first byte of the answer. */
-    std::optional<Duration> first;
-    /** Set when there was no room. */
+    Duration duration {};
+    /** Time until the deadline; negative after it. */
+    Duration remaining {};
+    /** From arrival to the first byte of the response. */
+    std::optional<Duration> timeToFirstByte;
+    /** Set if the dispatcher refused the request. */
     std::optional<RefusalDetails> refusal;
-    /** What decided whether the customer's limit had its units; unset where there is none. */
+    /** The decision of the customer's rate limit; unset if none was needed. */
     std::optional<LimitDecision> limit;
 };
 
-/** Counts the request and writes its last line. */
+/** Updates the metrics and writes the request's final log line. */
 void recordRequest(const RequestRecord &record, LogWriter &log, Metrics &metrics);
 
 } // namespace Apricothook
--- a/packages/gateway/tests/apricothook_gateway_crash_tests.cpp
+++ b/packages/gateway/tests/apricothook_gateway_crash_tests.cpp
@@ -1,4 +1,4 @@
-#include <apricothook_gateway_bench.hpp>
+#include <apricothook_gateway_fixture.hpp>
 
 #include <doctest/doctest.h>
 
@@ -29,9 +29,9 @@
     std::set<Fingerprint> quarantined;
 };
 
-struct CrashBench : GatewayBench
+struct CrashFixture : GatewayFixture
 {
-    explicit CrashBench(std::size_t targets = 1) : GatewayBench(targets)
+    explicit CrashFixture(std::size_t targets = 1) : GatewayFixture(targets)
     {
         gateway.setSuspectGuard(guard);
     }
@@ -41,60 +41,60 @@
 
 } // namespace
 
-TEST_CASE("requests that are lost with a target are told together")
+TEST_CASE("all requests that are lost in a crash are reported together")
 {
-    CrashBench bench;
-    HeldConnection &first = bench.connect();
-    first.socket.send(GatewayBench::request("once", "a", "one"));
-    HeldConnection &second = bench.connect();
-    second.socket.send(GatewayBench::request("once", "b", "two"));
-    REQUIRE(bench.until([&] { return bench.target(0).requests() == 2; }));
-    bench.target(0).crash();
-    REQUIRE(bench.until([&] { return first.has("\r\n\r\n") && second.has("\r\n\r\n"); }));
-    bench.settle();
-    bench.clock.advance(CrashWatch::ProbeTime);
-    REQUIRE(bench.until([&] { return !bench.guard.crashes.empty(); }));
-    REQUIRE(bench.guard.crashes.size() == 1);
-    CHECK(bench.guard.crashes[0].first == TargetId("t0"));
-    CHECK(bench.guard.crashes[0].second.size() == 2);
-    CHECK(bench.guard.answered.empty());
+    CrashFixture fixture;
+    RecordingConnection &first = fixture.connect();
+    first.socket.send(GatewayFixture::request("once", "a", "one"));
+    RecordingConnection &second = fixture.connect();
+    second.socket.send(GatewayFixture::request("once", "b", "two"));
+    REQUIRE(fixture.runUntil([&] { return fixture.target(0).requests() == 2; }));
+    fixture.target(0).crash();
+    REQUIRE(fixture.runUntil([&] { return first.has("\r\n\r\n") && second.has("\r\n\r\n"); }));
+    fixture.runPendingEvents();
+    fixture.clock.advance(CrashDetector::ProbeTime);
+    REQUIRE(fixture.runUntil([&] { return !fixture.guard.crashes.empty(); }));
+    REQUIRE(fixture.guard.crashes.size() == 1);
+    CHECK(fixture.guard.crashes[0].first == TargetId("t0"));
+    CHECK(fixture.guard.crashes[0].second.size() == 2);
+    CHECK(fixture.guard.answered.empty());
 }
 
-TEST_CASE("a target that drops a connection and takes others hasn't crashed")
+TEST_CASE("a target that drops a connection but accepts new ones is not reported as crashed")
 {
-    CrashBench bench;
-    HeldConnection &caller = bench.connect();
-    caller.socket.send(GatewayBench::request("once", "a"));
-    ScriptedTarget *target = bench.targetWith();
+    CrashFixture fixture;
+    RecordingConnection &caller = fixture.connect();
+    caller.socket.send(GatewayFixture::request("once", "a"));
+    ScriptedTarget *target = fixture.waitForTarget();
     REQUIRE(target);
     target->connection(0).socket.abort();
-    REQUIRE(bench.until([&] { return caller.has("\r\n\r\n"); }));
-    bench.settle();
-    bench.clock.advance(CrashWatch::ProbeTime);
-    bench.settle();
-    CHECK(bench.guard.crashes.empty());
+    REQUIRE(fixture.runUntil([&] { return caller.has("\r\n\r\n"); }));
+    fixture.runPendingEvents();
+    fixture.clock.advance(CrashDetector::ProbeTime);
+    fixture.runPendingEvents();
+    CHECK(fixture.guard.crashes.empty());
 }
 
-TEST_CASE("a quarantined request is refused as not run, with a time to come back")
+TEST_CASE("a quarantined request is rejected as not run, with a Retry-After")
 {
-    CrashBench bench;
-    HeldConnection &caller = bench.connect();
-    caller.socket.send(GatewayBench::request("idempotent", "a", "poison"));
-    ScriptedTarget *target = bench.targetWith();
+    CrashFixture fixture;
+    RecordingConnection &caller = fixture.connect();
+    caller.socket.send(GatewayFixture::request("idempotent", "a", "poison"));
+    ScriptedTarget *target = fixture.waitForTarget();
     REQUIRE(target);
-    target->connection(0).socket.send(wholeAnswer("a", "fine"));
-    REQUIRE(bench.until([&] { return caller.has("fine"); }));
-    REQUIRE(bench.guard.answered.size() == 1);
-    // The same request comes again under another id.
-    bench.guard.quarantined.insert(bench.guard.answered.front());
-    HeldConnection &again = bench.connect();
-    again.socket.send(GatewayBench::request("idempotent", "b", "poison"));
-    REQUIRE(bench.until([&] { return again.has("\r\n\r\n"); }));
+    target->connection(0).socket.send(signedResponse("a", "fine"));
+    REQUIRE(fixture.runUntil([&] { return caller.has("fine"); }));
+    REQUIRE(fixture.guard.answered.size() == 1);
+    // The same request with another id has the same fingerprint.
+    fixture.guard.quarantined.insert(fixture.guard.answered.front());
+    RecordingConnection &again = fixture.connect();
+    again.socket.send(GatewayFixture::request("idempotent", "b", "poison"));
+    REQUIRE(fixture.runUntil([&] { return again.has("\r\n\r\n"); }));
     CHECK(again.has("HTTP/1.1 503 "));
     CHECK(again.has("Retry-After: "));
-    CHECK(bench.target(0).requests() == 1);
-    // Another body is another request.
-    HeldConnection &other = bench.connect();
-    other.socket.send(GatewayBench::request("idempotent", "c", "harmless"));
-    CHECK(bench.until([&] { return bench.target(0).requests() == 2; }));
+    CHECK(fixture.target(0).requests() == 1);
+    // A different body gives a different fingerprint.
+    RecordingConnection &other = fixture.connect();
+    other.socket.send(GatewayFixture::request("idempotent", "c", "harmless"));
+    CHECK(fixture.runUntil([&] { return fixture.target(0).requests() == 2; }));
 }
--- a/packages/gateway/tests/apricothook_gateway_limit_tests.cpp
+++ b/packages/gateway/tests/apricothook_gateway_limit_tests.cpp
@@ -1,4 +1,4 @@
-#include <apricothook_gateway_bench.hpp>
+#include <apricothook_gateway_fixture.hpp>
 
 #include <doctest/doctest.h>
 
@@ -8,8 +8,8 @@
 
 namespace {
 
-/** Keeps what this daemon asks others for its customers. */
-class HeldMessages : public LimitMessenger
+/** Records the requests for units that the daemon sends to other daemons. */
+class RecordingMessenger : public LimitMessenger
 {
 public:
     void send(const Endpoint &to, const LimitMessage &message) override
@@ -21,10 +21,10 @@
     std::vector<std::pair<Endpoint, UnitsRequest>> asks;
 };
 
-/** A gateway whose customer's units another daemon grants. */
-struct LimitBench : GatewayBench
+/** A gateway with a customer whose grantor is another daemon. */
+struct LimitFixture : GatewayFixture
 {
-    LimitBench()
+    LimitFixture()
     {
         ServingConfiguration limited = configuration();
         limited.generation = Generation(2);
@@ -42,17 +42,17 @@
                                    .startedTogether = std::nullopt},
                                   clock.now());
     }
-    HeldConnection &send(const std::string &id)
+    RecordingConnection &send(const std::string &id)
     {
-        HeldConnection &caller = connect();
+        RecordingConnection &caller = connect();
         caller.socket.send("GET /once/x HTTP/1.1\r\nHost: host\r\nKey: secret\r\nId: " + id
                            + "\r\n\r\n");
         return caller;
     }
-    /** Waits for the question, and answers it. */
+    /** Waits for a request for units and answers it. */
     bool answer(UnitsOutcome outcome)
     {
-        if (!until([&] { return !messages.asks.empty(); }))
+        if (!runUntil([&] { return !messages.asks.empty(); }))
             return false;
         UnitsReply told;
         told.member = Grantor.member;
@@ -65,65 +65,66 @@
     }
 
     const LimitPeer Grantor {7, {"10.0.0.7", 1}};
-    HeldMessages messages;
+    RecordingMessenger messages;
 };
 
 } // namespace
 
-TEST_CASE("a request runs when its customer's grantor gives it units, not before")
+TEST_CASE("a request runs only after the customer's grantor has granted units")
 {
-    LimitBench bench;
-    bench.send("a");
-    REQUIRE(bench.until([&] { return !bench.messages.asks.empty(); }));
-    CHECK(bench.messages.asks.front().first == bench.Grantor.address);
-    CHECK(bench.messages.asks.front().second.units == 1);
-    CHECK(bench.target(0).requests() == 0);
-    REQUIRE(bench.answer(UnitsOutcome::Granted));
-    CHECK(bench.targetWith());
+    LimitFixture fixture;
+    fixture.send("a");
+    REQUIRE(fixture.runUntil([&] { return !fixture.messages.asks.empty(); }));
+    CHECK(fixture.messages.asks.front().first == fixture.Grantor.address);
+    CHECK(fixture.messages.asks.front().second.units == 1);
+    CHECK(fixture.target(0).requests() == 0);
+    REQUIRE(fixture.answer(UnitsOutcome::Granted));
+    CHECK(fixture.waitForTarget());
 }
 
-TEST_CASE("a caller whose customer is over its limit hears when the fleet will have units")
+TEST_CASE("a caller over its customer's limit gets 429 with the grantor's Retry-After")
 {
-    LimitBench bench;
-    HeldConnection &caller = bench.send("a");
-    REQUIRE(bench.answer(UnitsOutcome::Refused));
-    REQUIRE(bench.until([&] { return caller.has("HTTP/1.1 429 "); }));
+    LimitFixture fixture;
+    RecordingConnection &caller = fixture.send("a");
+    REQUIRE(fixture.answer(UnitsOutcome::Refused));
+    REQUIRE(fixture.runUntil([&] { return caller.has("HTTP/1.1 429 "); }));
     CHECK(caller.has("Retry-After: 700000\r\n"));
-    CHECK(bench.target(0).requests() == 0);
+    CHECK(fixture.target(0).requests() == 0);
 }
 
-TEST_CASE("a caller isn't told that its customer is over its limit when nobody knows")
+TEST_CASE("a caller gets 503 instead of 429 if no grantor responds")
 {
-    // The caller hears 503, not run, and comes back. The grantor is dead; without an overshoot the
-    // daemon has no credit for such a time, and a request without units must not run.
-    LimitBench bench;
+    // The grantor is dead. Without an overshoot the daemon has no credit to admit requests on its
+    // own, and a request without units must not run. Whether the customer is over its limit is
+    // unknown, so the response is 503 (not run).
+    LimitFixture fixture;
     for (int id = 0; id < 40; ++id)
-        bench.send("a" + std::to_string(id));
-    HeldConnection &last = bench.send("last");
-    bench.settle();
+        fixture.send("a" + std::to_string(id));
+    RecordingConnection &last = fixture.send("last");
+    fixture.runPendingEvents();
     for (int round = 0; round < 8; ++round) {
-        bench.clock.advance(CustomerRateLimiter::AnswerTime);
-        bench.settle();
+        fixture.clock.advance(CustomerRateLimiter::AnswerTime);
+        fixture.runPendingEvents();
     }
-    REQUIRE(bench.until([&] { return last.has("HTTP/1.1 "); }));
+    REQUIRE(fixture.runUntil([&] { return last.has("HTTP/1.1 "); }));
     CHECK(last.has("HTTP/1.1 503 "));
     CHECK(last.has("Retry-After: "));
-    CHECK(bench.target(0).requests() == 0);
+    CHECK(fixture.target(0).requests() == 0);
 }
 
-TEST_CASE("a caller that leaves while its request waits for units leaves nothing behind")
+TEST_CASE("a caller that disconnects while its request waits for units leaves no state behind")
 {
-    // Its units come later and nothing runs; the next request is served as ever.
-    LimitBench bench;
-    HeldConnection &caller = bench.send("a");
-    REQUIRE(bench.until([&] { return !bench.messages.asks.empty(); }));
+    // The units are granted after the disconnect. Nothing may run, and the next request is served.
+    LimitFixture fixture;
+    RecordingConnection &caller = fixture.send("a");
+    REQUIRE(fixture.runUntil([&] { return !fixture.messages.asks.empty(); }));
     caller.socket.abort();
-    REQUIRE(bench.until([&] { return bench.gateway.openRequests() == 0; }));
-    REQUIRE(bench.answer(UnitsOutcome::Granted));
-    bench.settle();
-    CHECK(bench.target(0).requests() == 0);
-    bench.messages.asks.clear();
-    bench.send("b");
-    REQUIRE(bench.answer(UnitsOutcome::Granted));
-    CHECK(bench.targetWith());
+    REQUIRE(fixture.runUntil([&] { return fixture.gateway.openRequests() == 0; }));
+    REQUIRE(fixture.answer(UnitsOutcome::Granted));
+    fixture.runPendingEvents();
+    CHECK(fixture.target(0).requests() == 0);
+    fixture.messages.asks.clear();
+    fixture.send("b");
+    REQUIRE(fixture.answer(UnitsOutcome::Granted));
+    CHECK(fixture.waitForTarget());
 }
--- a/packages/gateway/tests/apricothook_scripted_peers.hpp
+++ b/packages/gateway/tests/apricothook_scripted_peers.hpp
@@ -11,12 +11,12 @@
 
 namespace Apricothook {
 
-/** One end of a connection that a test holds: keeps all bytes and how it ended. */
-class HeldConnection : public StreamSocketEvents
+/** The test's end of a connection: records the received bytes and how the connection ended. */
+class RecordingConnection : public StreamSocketEvents
 {
 public:
-    HeldConnection(EventLoop &loop, int descriptor) : socket(loop, *this, descriptor) { }
-    HeldConnection(EventLoop &loop, const Endpoint &to) : socket(loop, *this, to) { }
+    RecordingConnection(EventLoop &loop, int descriptor) : socket(loop, *this, descriptor) { }
+    RecordingConnection(EventLoop &loop, const Endpoint &to) : socket(loop, *this, to) { }
 
     void onData(std::string_view bytes) override { received.append(bytes); }
     void onEnd(CloseReason how) override { end = how; }
@@ -27,20 +27,20 @@
     StreamSocket socket;
 };
 
-/** A target that answers only what the test says. */
+/** A listening target; the test sends the responses through its connections. */
 class ScriptedTarget
 {
 public:
     explicit ScriptedTarget(EventLoop &loop);
 
     Endpoint address() const { return {"127.0.0.1", m_listener->port()}; }
-    /** Whole requests that came, over all connections. */
+    /** Number of complete requests received on all connections. */
     std::size_t requests() const;
-    HeldConnection &connection(std::size_t index) { return *connections.at(index); }
-    /** Resets its connections and takes no more. */
+    RecordingConnection &connection(std::size_t index) { return *connections.at(index); }
+    /** Stops listening and resets all connections. */
     void crash();
 
-    std::vector<std::unique_ptr<HeldConnection>> connections;
+    std::vector<std::unique_ptr<RecordingConnection>> connections;
 
 private:
     std::unique_ptr<Listener> m_listener;
--- a/packages/gateway/tests/apricothook_test_dialect.hpp
+++ b/packages/gateway/tests/apricothook_test_protocol.hpp
@@ -4,9 +4,8 @@
 
 namespace Apricothook {
 
-/** A wire of the tests' own: "Id", "Patience" and "Key" from callers; "Not-Run" and "Signed" back.
- */
-class TestDialect : public WireProtocol
+/** Test headers: requests have "Id", "Patience" and "Key", responses "Not-Run" and "Signed". */
+class TestProtocol : public WireProtocol
 {
 public:
     Result<RequestFields, RequestFieldsError> callerRequest(const RequestHead &head) const override;
