--- a/packages/dispatch/apricothook/dispatch/apricothook_customer_rate_limiter.hpp
+++ b/packages/dispatch/apricothook/dispatch/apricothook_customer_rate_limiter.hpp
@@ -110,9 +110,9 @@
      * Sets the fraction of the customers' limits that this daemon may grant, from
      * limitFractionOf().
      */
-    void setReachableFraction(double fraction, Instant now)
+    void setLimitFraction(double fraction, Instant now)
     {
-        m_grantor.setReachableFraction(fraction, now);
+        m_grantor.setLimitFraction(fraction, now);
     }
 
     /**
@@ -136,7 +136,7 @@
     void take(const GrantorDenial &denial, Instant now) { m_grantor.take(denial, now); }
 
     /**
-     * Whether this daemon may grant units, so that setReachableFraction() must be kept up to date.
+     * Whether this daemon may grant units, so that setLimitFraction() must be kept up to date.
      */
     bool isCandidate() const { return m_grantor.isCandidate(); }
 
--- a/packages/dispatch/apricothook/dispatch/apricothook_grantor_role.cpp
+++ b/packages/dispatch/apricothook/dispatch/apricothook_grantor_role.cpp
@@ -70,12 +70,12 @@
     m_ranking.setMembers(std::move(members));
 }
 
-void GrantorRole::setReachableFraction(double fraction, Instant now)
+void GrantorRole::setLimitFraction(double limitFraction, Instant now)
 {
-    m_reachableFraction = fraction;
+    m_limitFraction = limitFraction;
     for (auto &[customer, role] : m_roles) {
         if (role.state == State::Grantor)
-            role.bucket.setReachableFraction(fraction, now);
+            role.bucket.setLimitFraction(limitFraction, now);
     }
 }
 
@@ -137,8 +137,7 @@
 
 bool GrantorRole::mayClaim(std::uint64_t customer, const Role &role, Instant now) const
 {
-    const bool reachesEnough
-        = reachesFleet() || (m_reachableFraction > 0 && now >= role.noClaimBefore);
+    const bool reachesEnough = reachesFleet() || (m_limitFraction > 0 && now >= role.noClaimBefore);
     return ranksFirst(customer) && m_knowsFleet && reachesEnough;
 }
 
@@ -194,7 +193,7 @@
     role.state = State::Grantor;
     role.stateSince = now;
     role.bucket = UnitBucket(role.budget, now);
-    role.bucket.setReachableFraction(m_reachableFraction, now);
+    role.bucket.setLimitFraction(m_limitFraction, now);
     const double accrued = vacancy.count() * role.bucket.perSecond();
     role.bucket.add(level + accrued + std::exchange(role.retainedUnits, 0), now);
     m_listener.onGrantorChanged(customer, change, role.bucket.level());
@@ -237,7 +236,7 @@
     if (role.state == State::NotGrantor && mayTakeOver && isAmongHighestRanked(request.customer))
         startClaim(request.customer, role, now);
     // A daemon that reaches few others leaves the customer to the grantor of the rest.
-    if (role.state != State::Grantor || m_reachableFraction <= 0) {
+    if (role.state != State::Grantor || m_limitFraction <= 0) {
         reply.outcome
             = role.state == State::Claiming ? UnitsOutcome::Pending : UnitsOutcome::NotGrantor;
         if (const LimitPeer *first = m_ranking.highestRanked(request.customer);
--- a/packages/dispatch/apricothook/dispatch/apricothook_grantor_role.hpp
+++ b/packages/dispatch/apricothook/dispatch/apricothook_grantor_role.hpp
@@ -77,7 +77,7 @@
      * Sets the fraction of the customers' limits that this daemon may grant, from
      * limitFractionOf().
      */
-    void setReachableFraction(double fraction, Instant now);
+    void setLimitFraction(double limitFraction, Instant now);
     /** `knowsFleet`: this daemon has heard from the others, so it may claim customers. */
     void review(bool knowsFleet, Instant now);
     /** Next time at which review() has to repeat or end a claim; empty if there is none. */
@@ -121,7 +121,7 @@
         GrantorHandover lastHandover;
     };
 
-    bool reachesFleet() const { return m_reachableFraction >= 1; }
+    bool reachesFleet() const { return m_limitFraction >= 1; }
     bool ranksFirst(std::uint64_t customer) const;
     bool mayClaim(std::uint64_t customer, const Role &role, Instant now) const;
     /**
@@ -163,7 +163,7 @@
     bool m_knowsFleet = false;
     std::optional<Instant> m_startedTogether;
     Instant m_lastReview {};
-    double m_reachableFraction = 1;
+    double m_limitFraction = 1;
     /** Handovers that were applied. */
     std::deque<std::uint64_t> m_appliedHandovers;
 };
--- a/packages/dispatch/apricothook/dispatch/apricothook_unit_bucket.cpp
+++ b/packages/dispatch/apricothook/dispatch/apricothook_unit_bucket.cpp
@@ -20,10 +20,10 @@
     m_level = std::min(m_level, size());
 }
 
-void UnitBucket::setReachableFraction(double fraction, Instant now)
+void UnitBucket::setLimitFraction(double limitFraction, Instant now)
 {
     refill(now);
-    m_reachableFraction = fraction;
+    m_limitFraction = limitFraction;
     m_level = std::min(m_level, size());
 }
 
--- a/packages/dispatch/apricothook/dispatch/apricothook_unit_bucket.hpp
+++ b/packages/dispatch/apricothook/dispatch/apricothook_unit_bucket.hpp
@@ -28,7 +28,7 @@
      * Fraction of the limit that this grantor may grant; the rest of the fleet may have a grantor
      * of its own.
      */
-    void setReachableFraction(double fraction, Instant now);
+    void setLimitFraction(double limitFraction, Instant now);
     /** Takes the demanded units if the bucket holds them and the part that must be left. */
     bool tryTake(const UnitDemand &demand, Instant now);
     /** Takes up to `units`, but not from the lower half of the bucket. */
@@ -41,15 +41,15 @@
     Duration timeUntilAvailable(const UnitDemand &demand, Instant now);
 
     double level() const { return m_level; }
-    double size() const { return m_budget.bucket * m_reachableFraction; }
-    double perSecond() const { return m_budget.perSecond * m_reachableFraction; }
+    double size() const { return m_budget.bucket * m_limitFraction; }
+    double perSecond() const { return m_budget.perSecond * m_limitFraction; }
 
 private:
     double needed(const UnitDemand &demand) const;
 
     CustomerBudget m_budget;
     double m_level = 0;
-    double m_reachableFraction = 1;
+    double m_limitFraction = 1;
     Instant m_lastRefill {};
 };
 
--- a/packages/dispatch/tests/apricothook_emulated_limits.cpp
+++ b/packages/dispatch/tests/apricothook_emulated_limits.cpp
@@ -205,9 +205,9 @@
             && uniform() >= 2 * network.lossRate)
             node.reachability.answered(probe);
     }
-    node.limits.setReachableFraction(limitFractionOf(node.reachability.reachableFraction(
-                                         node.lastHeard.size(), node.lastHeard.size() + 1, now())),
-                                     now());
+    node.limits.setLimitFraction(limitFractionOf(node.reachability.reachableFraction(
+                                     node.lastHeard.size(), node.lastHeard.size() + 1, now())),
+                                 now());
     node.limits.setFleet(fleet, now());
 }
 
--- a/packages/serving/apricothook/serving/apricothook_limit_exchange.cpp
+++ b/packages/serving/apricothook/serving/apricothook_limit_exchange.cpp
@@ -37,7 +37,7 @@
     // the whole fleet.
     const std::size_t known = m_directory.knownCount(now);
     const std::size_t daemons = std::max(known, m_fleetSize.daemons().value_or(known));
-    limits.setReachableFraction(
+    limits.setLimitFraction(
         limitFractionOf(m_reachability.reachableFraction(knownMembers().size(), daemons, now)),
         now);
     limits.setFleet({.members = candidates(),
