--- a/packages/fleetview/apricothook/fleetview/apricothook_fleet_directory.cpp
+++ b/packages/fleetview/apricothook/fleetview/apricothook_fleet_directory.cpp
@@ -70,7 +70,7 @@
         return false;
     const auto isHeard = [&](const Endpoint &seed) {
         return seed == own || std::ranges::any_of(m_members, [&seed](const auto &entry) {
-                   return entry.second.info.beaconAddress == seed;
+                   return entry.second.info.peerAddress == seed;
                });
     };
     const Duration age = now - *m_started;
@@ -87,7 +87,7 @@
     const auto isHeard = [&](const Endpoint &seed) {
         return seed == own || std::ranges::any_of(m_members, [&](const auto &entry) {
                    const KnownMember &member = entry.second;
-                   return member.info.beaconAddress == seed && !member.info.isLeaving
+                   return member.info.peerAddress == seed && !member.info.isLeaving
                        && isLive(member, now);
                });
     };
@@ -249,7 +249,7 @@
             cell, [](const auto *one, const auto *other) { return hasReadPriority(*one, *other); });
         cell.resize(std::min(cell.size(), ReadersPerCell));
         for (const MemberInfo *info : cell)
-            readers.push_back(info->beaconAddress);
+            readers.push_back(info->peerAddress);
     }
     return readers;
 }
--- a/packages/fleetview/apricothook/fleetview/apricothook_member_info.hpp
+++ b/packages/fleetview/apricothook/fleetview/apricothook_member_info.hpp
@@ -16,7 +16,7 @@
     Incarnation process;
     DataCentreId dataCentre;
     /** Address at which it receives datagrams of other daemons. */
-    Endpoint beaconAddress;
+    Endpoint peerAddress;
     Endpoint callerAddress;
     /** Address at which it serves published items to other daemons. */
     Endpoint itemAddress;
@@ -35,7 +35,7 @@
     template <typename Archive, typename Self>
     static void fields(Archive &archive, Self &self)
     {
-        archive(self.member, self.process, self.dataCentre, self.beaconAddress, self.callerAddress,
+        archive(self.member, self.process, self.dataCentre, self.peerAddress, self.callerAddress,
                 self.itemAddress, self.isReady, self.isLeaving, self.reachesSource,
                 self.hasLostSource, self.capacity, self.age);
     }
--- a/packages/fleetview/tests/apricothook_cold_view_tracker_tests.cpp
+++ b/packages/fleetview/tests/apricothook_cold_view_tracker_tests.cpp
@@ -28,7 +28,7 @@
         MemberInfo info;
         info.member = MemberId(member);
         info.isReady = true;
-        info.beaconAddress = address;
+        info.peerAddress = address;
         directory.update(info, clock.now());
     }
     void hearSeeds()
--- a/packages/fleetview/tests/apricothook_fleet_directory_tests.cpp
+++ b/packages/fleetview/tests/apricothook_fleet_directory_tests.cpp
@@ -257,7 +257,7 @@
         = [&] { return bench.directory.hasDiscoveredFleet(seeds, own, bench.clock.now()); };
     const auto takeSeed = [&](std::size_t index) {
         MemberInfo seed = memberInfo("seed" + std::to_string(index));
-        seed.beaconAddress = seeds[index];
+        seed.peerAddress = seeds[index];
         bench.take(seed);
     };
     takeSeed(0);
--- a/packages/fleetview/tests/apricothook_fleet_size_tests.cpp
+++ b/packages/fleetview/tests/apricothook_fleet_size_tests.cpp
@@ -31,7 +31,7 @@
             for (std::size_t number = first; number <= last; ++number) {
                 MemberInfo info;
                 info.member = MemberId("vm-" + std::to_string(number));
-                info.beaconAddress = addressOf(number);
+                info.peerAddress = addressOf(number);
                 directory.update(info, clock.now());
             }
             review();
--- a/packages/fleetview/tests/apricothook_peer_datagram_tests.cpp
+++ b/packages/fleetview/tests/apricothook_peer_datagram_tests.cpp
@@ -13,7 +13,7 @@
     return {.member = MemberId(member),
             .process = Incarnation(7),
             .dataCentre = DataCentreId("d"),
-            .beaconAddress = {"10.0.0.1", 1},
+            .peerAddress = {"10.0.0.1", 1},
             .callerAddress = {"10.0.0.1", 2},
             .itemAddress = {"10.0.0.1", 3},
             .isReady = true,
--- a/packages/fleetview/tests/apricothook_reader_selection_tests.cpp
+++ b/packages/fleetview/tests/apricothook_reader_selection_tests.cpp
@@ -15,7 +15,7 @@
 {
     MemberInfo info;
     info.member = MemberId("vm-" + std::to_string(index));
-    info.beaconAddress = {"10.0.0.1", static_cast<std::uint16_t>(index + 1)};
+    info.peerAddress = {"10.0.0.1", static_cast<std::uint16_t>(index + 1)};
     info.isReady = true;
     info.reachesSource = true;
     info.capacity = index % 13 == 0 ? 50 : 12;
--- a/packages/serving/apricothook/serving/apricothook_cell_exchange.cpp
+++ b/packages/serving/apricothook/serving/apricothook_cell_exchange.cpp
@@ -61,7 +61,7 @@
 {
     std::vector<Endpoint> addresses;
     for (const KnownMember *member : m_directory.membersOfCell(m_directory.ownCell()))
-        addresses.push_back(member->info.beaconAddress);
+        addresses.push_back(member->info.peerAddress);
     return addresses;
 }
 
--- a/packages/serving/apricothook/serving/apricothook_fleet_exchange.cpp
+++ b/packages/serving/apricothook/serving/apricothook_fleet_exchange.cpp
@@ -46,7 +46,7 @@
         return {m_seeds[chosen]};
     const auto member
         = std::next(members.begin(), static_cast<std::ptrdiff_t>(chosen - m_seeds.size()));
-    return {member->second.info.beaconAddress};
+    return {member->second.info.peerAddress};
 }
 
 void FleetExchange::sendGossip(const std::vector<Endpoint> &to, bool wantsReply, bool all)
@@ -71,14 +71,14 @@
     for (const MemberInfo &other : gossip.others)
         m_directory.update(other, now);
     if (gossip.wantsReply)
-        sendGossip({gossip.sender.beaconAddress}, false, gossip.wantsFullList);
+        sendGossip({gossip.sender.peerAddress}, false, gossip.wantsFullList);
 }
 
 void FleetExchange::announce()
 {
     std::vector<Endpoint> all;
     for (const auto &[id, member] : m_directory.members())
-        all.push_back(member.info.beaconAddress);
+        all.push_back(member.info.peerAddress);
     m_sender.send(all, MemberGossip {m_sender.ownInfo(), false, false, {}});
 }
 
@@ -93,7 +93,7 @@
     for (std::uint32_t cell = 0; cell < m_directory.cells(); ++cell) {
         const KnownMember *next = cell == m_directory.ownCell() ? nullptr : nextReceiver(cell);
         if (next)
-            receivers.push_back(next->info.beaconAddress);
+            receivers.push_back(next->info.peerAddress);
     }
     m_sender.send(receivers, ownSummary());
 }
--- a/packages/serving/apricothook/serving/apricothook_limit_exchange.cpp
+++ b/packages/serving/apricothook/serving/apricothook_limit_exchange.cpp
@@ -8,7 +8,7 @@
 
 GrantorCandidate candidateOf(const MemberInfo &info)
 {
-    return {{memberHash(info.member), info.beaconAddress}, info.capacity, info.isLeaving};
+    return {{memberHash(info.member), info.peerAddress}, info.capacity, info.isLeaving};
 }
 
 } // namespace
@@ -31,7 +31,7 @@
 void LimitExchange::tick()
 {
     const Instant now = m_loop.now();
-    const Endpoint own = m_sender.ownInfo().beaconAddress;
+    const Endpoint own = m_sender.ownInfo().peerAddress;
     CustomerRateLimiter &limits = m_gateway.limits();
     // The directory alone would let a daemon that has been unreachable for long believe that it is
     // the whole fleet.
@@ -85,14 +85,14 @@
 {
     if (!m_gateway.limits().isCandidate())
         return;
-    const Endpoint own = m_sender.ownInfo().beaconAddress;
+    const Endpoint own = m_sender.ownInfo().peerAddress;
     std::vector<const KnownMember *> known = knownMembers();
     for (std::size_t sent = 0; sent < ReachabilityEstimator::ProbesPerRound && !known.empty();
          ++sent) {
         const std::size_t index = m_random.next() % known.size();
         const ReachProbe probe {own, m_random.next()};
         m_reachability.sent(probe.probe, m_loop.now());
-        m_sender.send(known[index]->info.beaconAddress, probe);
+        m_sender.send(known[index]->info.peerAddress, probe);
         known.erase(known.begin() + static_cast<std::ptrdiff_t>(index));
     }
 }
--- a/packages/serving/apricothook/serving/apricothook_peer_exchange.cpp
+++ b/packages/serving/apricothook/serving/apricothook_peer_exchange.cpp
@@ -18,8 +18,8 @@
     , m_metrics(metrics)
     , m_log(log)
     , m_directory(settings.member)
-    , m_fleetSize(m_directory, settings.seeds, settings.beaconAddress)
-    , m_coldViewTracker(m_directory, settings.seeds, settings.beaconAddress,
+    , m_fleetSize(m_directory, settings.seeds, settings.peerAddress)
+    , m_coldViewTracker(m_directory, settings.seeds, settings.peerAddress,
                         settings.bounds.entryInterval)
     , m_cell(loop, m_directory, *this, gateway, log)
     , m_fleet(loop, m_directory, *this, random, settings.seeds)
@@ -39,7 +39,7 @@
 {
     m_onReadingChanged = std::move(readingChanged);
     Result<std::unique_ptr<DatagramSocket>, ListenError> socket = DatagramSocket::open(
-        m_loop, m_settings.beaconAddress, [this](std::string_view bytes) { receive(bytes); });
+        m_loop, m_settings.peerAddress, [this](std::string_view bytes) { receive(bytes); });
     if (!socket)
         return socket.error();
     m_socket = std::move(socket).value();
@@ -200,7 +200,7 @@
         .member = m_settings.member,
         .process = m_process,
         .dataCentre = m_settings.dataCentre,
-        .beaconAddress = m_settings.beaconAddress,
+        .peerAddress = m_settings.peerAddress,
         .callerAddress = m_settings.callerAddress,
         .itemAddress = m_settings.controlAddress,
         .isReady = isReady(),
--- a/packages/serving/apricothook/serving/apricothook_serving_process.cpp
+++ b/packages/serving/apricothook/serving/apricothook_serving_process.cpp
@@ -33,7 +33,7 @@
     , m_log(log)
     , m_loop(clock)
     , m_gateway(m_loop, adapters.wire, random, log, m_metrics, settings.bounds, settings.dataCentre,
-                settings.policies, {memberHash(settings.member), settings.beaconAddress})
+                settings.policies, {memberHash(settings.member), settings.peerAddress})
     , m_published(m_loop, m_gateway, adapters.decoder, log)
     , m_peers(m_loop, m_settings, m_incarnation, m_gateway, m_published, random, m_metrics, log)
 {
@@ -73,7 +73,7 @@
     updateMetrics();
     m_log.write(LogEvent(FleetviewEvent::ProcessStarted)
                     .with("callers", m_settings.callerAddress.text())
-                    .with("beacons", m_settings.beaconAddress.text())
+                    .with("beacons", m_settings.peerAddress.text())
                     .with("source", m_settings.itemSource.text())
                     .with("process", m_incarnation.value()));
     return Outcomes::success();
--- a/packages/serving/apricothook/serving/apricothook_serving_settings.hpp
+++ b/packages/serving/apricothook/serving/apricothook_serving_settings.hpp
@@ -25,7 +25,7 @@
     Endpoint lookupAddress;
     /** Serves published items to peers, and the metrics. */
     Endpoint controlAddress;
-    Endpoint beaconAddress;
+    Endpoint peerAddress;
     /** Heartbeat addresses of some daemons, possibly outdated. */
     std::vector<Endpoint> seeds;
     /** Service at which the configuration and the targets are published. */
--- a/packages/serving/apricothook/serving/apricothook_suspect_exchange.cpp
+++ b/packages/serving/apricothook/serving/apricothook_suspect_exchange.cpp
@@ -20,7 +20,7 @@
             continue;
         MemberUpdate update;
         update.instance = {id, member.info.process};
-        update.peerAddress = member.info.beaconAddress;
+        update.peerAddress = member.info.peerAddress;
         m_live.push_back(update);
     }
     std::ranges::sort(m_live, {},
--- a/packages/serving/tests/apricothook_emulated_cold_fleet.cpp
+++ b/packages/serving/tests/apricothook_emulated_cold_fleet.cpp
@@ -95,7 +95,7 @@
     const bool isCut = m_fleet.isCutOff(number());
     targets.setColdTargetSenders(m_coldViewTracker.review({!isCut && isStarting(), !isCut}, now));
     for (const KnownMember *member : m_directory.membersOfCell(m_directory.ownCell()))
-        send(member->info.beaconAddress, MemberGossip {ownInfo(), false, false, {}});
+        send(member->info.peerAddress, MemberGossip {ownInfo(), false, false, {}});
     m_exchange.sendSummaries();
 }
 
--- a/packages/serving/tests/apricothook_emulated_fleet.cpp
+++ b/packages/serving/tests/apricothook_emulated_fleet.cpp
@@ -32,7 +32,7 @@
     MemberInfo info;
     info.member = EmulatedFleet::memberOf(m_number);
     info.process = Incarnation(m_startedAt);
-    info.beaconAddress = EmulatedFleet::addressOf(m_number);
+    info.peerAddress = EmulatedFleet::addressOf(m_number);
     info.isReady = true;
     return info;
 }
--- a/packages/serving/tests/apricothook_emulated_retry_fleet.cpp
+++ b/packages/serving/tests/apricothook_emulated_retry_fleet.cpp
@@ -48,7 +48,7 @@
     m_directory.review(m_lastTick);
     m_fleetSize.review(m_lastTick);
     for (const KnownMember *member : m_directory.membersOfCell(m_directory.ownCell()))
-        send(member->info.beaconAddress, MemberGossip {ownInfo(), false, false, {}});
+        send(member->info.peerAddress, MemberGossip {ownInfo(), false, false, {}});
     m_exchange.sendSummaries();
 }
 
--- a/packages/serving/tests/apricothook_fleet_exchange_tests.cpp
+++ b/packages/serving/tests/apricothook_fleet_exchange_tests.cpp
@@ -129,7 +129,7 @@
     MemberInfo info;
     info.member = memberOf(m_number);
     info.process = Incarnation(7);
-    info.beaconAddress = addressOf(m_number);
+    info.peerAddress = addressOf(m_number);
     info.callerAddress = {"10.0.0.1", 8702};
     info.itemAddress = {"10.0.0.1", 8704};
     info.dataCentre = DataCentreId("hall-a");
--- a/packages/serving/tests/apricothook_suspect_exchange_tests.cpp
+++ b/packages/serving/tests/apricothook_suspect_exchange_tests.cpp
@@ -38,7 +38,7 @@
         m_lastTick = m_loop.now();
         m_directory.review(m_lastTick);
         for (const KnownMember *member : m_directory.membersOfCell(m_directory.ownCell()))
-            send(member->info.beaconAddress, MemberGossip {ownInfo(), false, false, {}});
+            send(member->info.peerAddress, MemberGossip {ownInfo(), false, false, {}});
     }
     void take(const PeerDatagram &datagram) override
     {
