--- a/packages/dispatch/apricothook/dispatch/apricothook_cold_target_limiter.cpp
+++ b/packages/dispatch/apricothook/dispatch/apricothook_cold_target_limiter.cpp
@@ -41,11 +41,11 @@
     }
 }
 
-bool ColdTargetLimiter::setSenders(ColdTargetSenders fleet)
+bool ColdTargetLimiter::setSenders(ColdTargetSenders senders)
 {
-    if (fleet == m_senders)
+    if (senders == m_senders)
         return false;
-    m_senders = std::move(fleet);
+    m_senders = std::move(senders);
     return true;
 }
 
--- a/packages/dispatch/apricothook/dispatch/apricothook_cold_target_limiter.hpp
+++ b/packages/dispatch/apricothook/dispatch/apricothook_cold_target_limiter.hpp
@@ -68,7 +68,7 @@
 
     void setServices(const std::vector<ServiceRule> &services);
     /** Returns false if nothing has changed. */
-    bool setSenders(ColdTargetSenders fleet);
+    bool setSenders(ColdTargetSenders senders);
 
     /**
      * Requests that this daemon may send to the target, given by its targetHash(), in any one
--- a/packages/dispatch/apricothook/dispatch/apricothook_target_table.cpp
+++ b/packages/dispatch/apricothook/dispatch/apricothook_target_table.cpp
@@ -59,9 +59,9 @@
 
 } // namespace
 
-std::uint64_t targetHash(const TargetInstance &start)
+std::uint64_t targetHash(const TargetInstance &instance)
 {
-    return hashOf(start.id.text(), start.startedAt);
+    return hashOf(instance.id.text(), instance.startedAt);
 }
 
 void TargetTable::put(const TargetEntry &entry, Instant now)
--- a/packages/dispatch/apricothook/dispatch/apricothook_target_table.hpp
+++ b/packages/dispatch/apricothook/dispatch/apricothook_target_table.hpp
@@ -29,7 +29,7 @@
  * instance doesn't count for the current one, which would look busy with requests that it never
  * received.
  */
-std::uint64_t targetHash(const TargetInstance &start);
+std::uint64_t targetHash(const TargetInstance &instance);
 
 /** The size of a request, as far as targets are concerned. */
 struct RequestSize
@@ -150,7 +150,7 @@
 
     void requestStarted(const TargetInstance &target, const RequestSize &size, Instant now);
     void firstEventReceived(const TargetInstance &target, const RequestSize &size, Duration took);
-    /** `hadFirstEvent`: firstEvent() was called for this request. */
+    /** `hadFirstEvent`: firstEventReceived() was called for this request. */
     void requestEnded(const TargetInstance &target, const RequestSize &size, TargetOutcome outcome,
                       Duration held, bool hadFirstEvent, Instant now);
     void setMemberLoad(std::uint64_t member, const std::vector<TargetLoad> &loads);
